--- a/crates/rookspoke/tests/known_red.rs
+++ b/crates/rookspoke/tests/known_red.rs
@@ -52,6 +52,17 @@
     assert!(run(&three, &red(&["list::old", "list::new", "ends::old"]), 101).0);
 }
 
+#[test]
+fn a_failure_that_is_shown_by_hand_is_printed_and_passes_over_no_test() {
+    let by_hand = "by hand: ROOKSPOKE_SOAK_SEEDS=1..2 cargo test --test soak | 3 sends | #53\n";
+    let (passed, said) = run(by_hand, GREEN, 0);
+    assert!(passed && said.contains(&format!("known red: {by_hand}")), "{said}");
+    assert!(!run(by_hand, &red(&["list::old"]), 101).0, "no test is passed over");
+    assert!(!run(&by_hand.replace("#53", "soon"), GREEN, 0).0, "it names an issue");
+    let (passed, said) = run(&by_hand.repeat(4), GREEN, 0);
+    assert!(!passed && said.contains("three at most"), "{said}");
+}
+
 #[test]
 fn anything_else_fails() {
     let line = |name: &str| format!("{name} | a fault | #37\n");
