--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -35,7 +35,7 @@
 use request::{BadRequest, Facts, Head, OpenId, OpenIds};
 use resolver::Order;
 use rookspoke_config::{Config, ListSource};
-use rookspoke_decisions::{Ban, ClassId, Effect, Note, RequestId, SettingsError, Span, Time};
+use rookspoke_decisions::{AttemptUpdate, Ban, ClassId, Effect, RequestId, SettingsError, Span, Time};
 use rookspoke_dispatch::{request_span, Answer, Ask, Clock, Core, Counters, Handle, Limits};
 use rookspoke_wire::Vocabulary;
 use subchannel::{Call, Shared, Subchannel, NO_WATCH};
@@ -82,7 +82,7 @@
 /// The body of an answer.
 pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
-type Notes = Arc<dyn Fn(RequestId, usize, Note) -> BoxFuture<'static, ()> + Send + Sync>;
+type Notes = Arc<dyn Fn(RequestId, usize, AttemptUpdate) -> BoxFuture<'static, ()> + Send + Sync>;
 
 /// What a shutdown allows to requests that are taken after it was announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/channel/src/membership.rs
+++ b/crates/channel/src/membership.rs
@@ -75,7 +75,7 @@
                         handle.counters().lists_unusable.add();
                         handle.list(ListScope::Unusable, Arc::new([])).await;
                     }
-                    ResolverResult::Moved => handle.list(ListScope::Moved, Arc::new([])).await,
+                    ResolverResult::Moved => handle.list(ListScope::SourceChanged, Arc::new([])).await,
                     ResolverResult::Silent(since) => {
                         let since = clock.at(since);
                         handle.list(ListScope::Silent { since }, Arc::new([])).await;
--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -21,7 +21,7 @@
 use super::connection::{Broke, Connection};
 use super::lines::Lines;
 use super::{headers, report, Notes};
-use rookspoke_decisions::{LoadReport, Name, Note, Outcome, Time, TOLD_WITHIN};
+use rookspoke_decisions::{AttemptUpdate, LoadReport, Name, Outcome, Time, NOTIFIED_WITHIN};
 use rookspoke_dispatch::{CallAttempt, Clock, Counters, Ended, Probed};
 use rookspoke_wire::Vocabulary;
 
@@ -112,7 +112,7 @@
     /// dead, though a late turn of this process may not have noticed yet.
     fn list_holds(&self, now: Time) -> bool {
         !self.list_unread.load(Ordering::Acquire)
-            && Time(self.last_word.load(Ordering::Acquire)) + TOLD_WITHIN > now
+            && Time(self.last_word.load(Ordering::Acquire)) + NOTIFIED_WITHIN > now
     }
 }
 
@@ -274,7 +274,7 @@
                 Err(Broke::AfterLastByte) => {
                     tracing::debug!("{}: a kept connection broke under a request", self.0.name);
                     *lock(&self.0.shared.severed) = Some(Instant::now());
-                    return Err(Outcome::Severed);
+                    return Err(Outcome::StaleConnection);
                 }
                 Err(Broke::BeforeLastByte) => {}
             }
@@ -372,7 +372,7 @@
                 // A second answer to the one before, that came too late to be seen there: the log worker may be well.
                 if connection.kept {
                     *lock(&shared.severed) = Some(Instant::now());
-                    break Err(Outcome::Severed);
+                    break Err(Outcome::StaleConnection);
                 }
                 break Err(Outcome::ConnectionLost);
             }
@@ -380,10 +380,10 @@
                 load = report::from_map(map, &shared.words).or(load);
             }
             match object.state.as_str() {
-                "started" => (shared.notes)(request, number, Note::Started).await,
+                "started" => (shared.notes)(request, number, AttemptUpdate::Started).await,
                 "running" => {
                     let share = object.share.unwrap_or(0.0);
-                    (shared.notes)(request, number, Note::Progress(share)).await;
+                    (shared.notes)(request, number, AttemptUpdate::Progress(share)).await;
                 }
                 "done" => {
                     let result = object.result.map(|raw| line.slice_ref(raw.get().as_bytes()));
--- a/crates/decisions/benches/decision.rs
+++ b/crates/decisions/benches/decision.rs
@@ -31,8 +31,8 @@
         kind: None,
     };
     Settings {
-        me: 0,
-        balancers: 3,
+        dispatcher_index: 0,
+        dispatchers: 3,
         zone: "a".into(),
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
@@ -42,8 +42,8 @@
         worth_by: WorthBy::Request,
         discovery: Discovery::Automatic,
         reporting: Reporting::Answers,
-        tells_start: true,
-        progress: Span::from_ms(2_000.0),
+        reports_start: true,
+        progress_interval: Span::from_ms(2_000.0),
         cross_zone_price: 0.03,
         waste_price: 0.02,
         quantum: Span::from_ms(4.0),
@@ -59,10 +59,10 @@
             answer_slack: Span::from_ms(16.0),
             ask_every: Span::from_ms(10_000.0),
             drain_grace: Span::from_ms(500.0),
-            cold_from: 0.13,
+            initial_capacity: 0.13,
             ramp: Span::from_ms(23_000.0),
-            fall_multiple: 3.0,
-            fall_span: Span::from_ms(3000.0),
+            overload_multiple: 3.0,
+            overload_window: Span::from_ms(3000.0),
         },
     }
 }
@@ -123,7 +123,7 @@
         let key = self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (10 * self.workers as u64);
         let id = RequestId(self.next);
         self.tell(Event::Request(Request {
-            tag: None,
+            idempotency_hash: None,
             id,
             class: ClassId(0),
             tenant: None,
@@ -136,7 +136,7 @@
         let sent = self.actions.iter().any(|a| matches!(a, Action::Send { request, .. } if *request == id));
         self.actions.clear();
         if sent {
-            self.tell(Event::Note { request: id, attempt: 0, note: Note::Started });
+            self.tell(Event::AttemptUpdate { request: id, attempt: 0, update: AttemptUpdate::Started });
             self.out.push_back(self.next);
         }
         if self.out.len() >= self.most_out() {
--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -30,7 +30,7 @@
     pub(crate) fn on_request(&mut self, r: Request, out: &mut Vec<Action>) {
         let over_share = r.tenant.is_some_and(|t| {
             let rate =
-                TENANT_SLACK * self.settings.tenants[t.0].allowance_per_s / self.settings.balancers as f64;
+                TENANT_SLACK * self.settings.tenants[t.0].allowance_per_s / self.settings.dispatchers as f64;
             self.tenants[t.0].level(self.now, rate, (rate * TENANT_DEPTH_S).max(1.0)) < 1.0
         });
         let kind = self.settings.classes[r.class.0].kind;
@@ -73,7 +73,7 @@
             return self.conclude(id, reason, out);
         }
         let (job, late_worth) = (job.clone(), class.late_worth);
-        let to = self.list.is_trusted(self.now).then(|| self.choose(&job, out)).flatten();
+        let to = self.list.is_valid(self.now).then(|| self.choose(&job, out)).flatten();
         let chance = to.and_then(|to| self.fleet.get(to)).map(|w| self.late_chance(w, &job));
         match to {
             // What would start too late is refused: served late it is worth nothing and keeps others late.
--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -213,22 +213,22 @@
     /// How long sends to a draining or gone worker may continue.
     pub drain_grace: Span,
     /// A worker begins at no less than this part of its capacity,
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// and is warm no later than this.
     pub ramp: Span,
     /// A cold worker falls when sent more than this multiple of its present capacity
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// within a span of this length.
-    pub fall_span: Span,
+    pub overload_window: Span,
 }
 
 /// Everything a dispatcher is told at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This dispatcher's number, from 0.
-    pub me: usize,
+    pub dispatcher_index: usize,
     /// How many dispatchers send to these workers.
-    pub balancers: usize,
+    pub dispatchers: usize,
     /// The zone of this dispatcher.
     pub zone: Name,
     /// All zones.
@@ -248,9 +248,9 @@
     /// Where load reports come from.
     pub reporting: Reporting,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// How often they tell how far a job is that runs; 0: never.
-    pub progress: Span,
+    pub progress_interval: Span,
     /// What an attempt across zones costs, as a part of a request's worth.
     pub cross_zone_price: f64,
     /// What log workers' work without an answer costs, as a part of the worth of the work that it takes the place of.
@@ -284,8 +284,13 @@
         };
         let share = |v: f64| (0.0..=1.0).contains(&v);
         let positive = |v: f64| v.is_finite() && v > 0.0;
-        need(self.balancers > 0, "balancers", self.balancers.to_string(), "at least 1")?;
-        need(self.me < self.balancers, "me", self.me.to_string(), "a number below balancers")?;
+        need(self.dispatchers > 0, "balancers", self.dispatchers.to_string(), "at least 1")?;
+        need(
+            self.dispatcher_index < self.dispatchers,
+            "me",
+            self.dispatcher_index.to_string(),
+            "a number below balancers",
+        )?;
         need(!self.classes.is_empty(), "classes", "none".into(), "at least one class")?;
         for class in &self.classes {
             need(class.aim.0 > 0, "classes.aim", class.aim.ms().to_string(), "more than 0 ms")?;
@@ -324,18 +329,18 @@
             "0 ms or more",
         )?;
         let rules = &self.rules;
-        need(share(rules.cold_from), "rules.cold_from", rules.cold_from.to_string(), "0 to 1")?;
+        need(share(rules.initial_capacity), "rules.cold_from", rules.initial_capacity.to_string(), "0 to 1")?;
         need(
-            positive(rules.fall_multiple),
+            positive(rules.overload_multiple),
             "rules.fall_multiple",
-            rules.fall_multiple.to_string(),
+            rules.overload_multiple.to_string(),
             "more than 0",
         )?;
         for (name, span) in [
             ("rules.answer_slack", rules.answer_slack),
             ("rules.drain_grace", rules.drain_grace),
             ("rules.ramp", rules.ramp),
-            ("rules.fall_span", rules.fall_span),
+            ("rules.fall_span", rules.overload_window),
         ] {
             need(span.0 >= 0, name, span.ms().to_string(), "0 ms or more")?;
         }
@@ -390,7 +395,7 @@
 
 /// How many workers there are for a dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct WorkerCounts {
     /// Those in the list: in service, or draining.
     pub known: usize,
     /// Those of them that get nothing now: draining, taken out by hand, or shunned after failures.
@@ -416,7 +421,7 @@
         since: Time,
     },
     /// The list comes from elsewhere from now on, where the host asks by itself; nothing changed.
-    Moved,
+    SourceChanged,
 }
 
 /// A client's request.
@@ -431,7 +436,7 @@
     /// The program or data set it needs.
     pub key: Option<Name>,
     /// What a keyed request has in common with its client's other tries: a hash of its idempotency key.
-    pub tag: Option<u64>,
+    pub idempotency_hash: Option<u64>,
     /// Its work as time on a standard core, where a usable hint came along.
     pub work: Option<Span>,
     /// Slots it takes.
@@ -481,7 +486,7 @@
     /// Never sent.
     NotSent,
     /// A connection kept from earlier broke before any answer: it may have run, and the worker may be well.
-    Severed,
+    StaleConnection,
     /// The worker cannot use the request: that is the client's doing, and no other worker can.
     Unusable,
 }
@@ -495,7 +500,7 @@
 
 /// News of an attempt that is still out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum AttemptUpdate {
     /// The job has started.
     Started,
     /// This part of it is done.
@@ -543,13 +548,13 @@
         attempt: usize,
     },
     /// News of an attempt.
-    Note {
+    AttemptUpdate {
         /// The request.
         request: RequestId,
         /// Which attempt.
         attempt: usize,
         /// The news.
-        note: Note,
+        update: AttemptUpdate,
     },
     /// An attempt ended.
     Outcome(AttemptEnd),
@@ -630,7 +635,7 @@
     /// Close idle connections to a worker.
     CloseIdle(Name),
     /// Send bytes to one other dispatcher, or to all.
-    Tell {
+    SendToPeer {
         /// Its number; none means all.
         peer: Option<u64>,
         /// The bytes, 256 at most.
--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -84,7 +84,7 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.born.is_none() {
             (self.born, self.now, self.round) = (Some(now), now, now);
-            self.list.born(now, &mut self.rng);
+            self.list.start(now, &mut self.rng);
         }
         self.now = self.now.max(now);
         match event {
@@ -92,7 +92,9 @@
             Event::Bans(bans) => self.fleet.ban(&bans, self.now),
             Event::Request(request) => self.on_request(request, out),
             Event::StreamStarted { request, .. } => self.requests.stream(request),
-            Event::Note { request, attempt, note } => self.on_note(request, attempt, note, out),
+            Event::AttemptUpdate { request, attempt, update } => {
+                self.on_update(request, attempt, update, out)
+            }
             Event::Outcome(end) => self.on_outcome(end, out),
             Event::ClientGone(id) => self.end(id, out),
             Event::Timer(_) => self.armed = self.armed.filter(|at| *at > self.now),
@@ -113,19 +115,20 @@
             // A worker's slots show in the report of an idle one; under load they are taken for fewer.
             if self.asks() {
                 let ready = self.fleet.ready.clone();
-                let most = FIRST_PROBES * PROBERS / self.settings.balancers.max(PROBERS);
+                let most = FIRST_PROBES * PROBERS / self.settings.dispatchers.max(PROBERS);
                 let unknown = self.fleet.probe_stale(ready.iter(), Time(i64::MIN), most);
                 out.extend(unknown.into_iter().map(Action::Probe));
             }
         }
         if self.list.is_due(self.now) {
             out.push(Action::Subscribe);
-            self.list.asks(self.now);
+            self.list.on_call(self.now);
         }
         while let Some(id) = self.requests.pop_due(self.now) {
             self.advance(id, out);
         }
-        let next = self.requests.next_due().into_iter().chain(self.list.next()).fold(self.round, Time::min);
+        let next =
+            self.requests.next_due().into_iter().chain(self.list.next_call()).fold(self.round, Time::min);
         if self.armed.is_none_or(|at| next < at) {
             self.armed = Some(next);
             out.push(Action::SetTimer { at: next, token: 0 });
@@ -134,11 +137,11 @@
 
     fn on_list(&mut self, scope: ListScope, entries: &[Listing]) {
         match scope {
-            ListScope::Failed => return self.list.lost(self.now, &mut self.rng),
-            ListScope::Unusable => return self.list.unusable(self.now, &mut self.rng),
-            ListScope::Silent { since } => return self.list.silent(since, self.now, &mut self.rng),
-            ListScope::Moved => return self.list.moved(self.now),
-            ListScope::Changes | ListScope::Complete => self.list.heard(),
+            ListScope::Failed => return self.list.on_failure(self.now, &mut self.rng),
+            ListScope::Unusable => return self.list.on_unusable(self.now, &mut self.rng),
+            ListScope::Silent { since } => return self.list.on_silence(since, self.now, &mut self.rng),
+            ListScope::SourceChanged => return self.list.on_source_change(self.now),
+            ListScope::Changes | ListScope::Complete => self.list.on_list(),
             ListScope::Remembered => {}
         }
         self.fleet.apply(scope, entries, &self.settings, self.now);
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -102,10 +102,10 @@
         let in_service = || self.by_id.values().any(|w| w.readiness == Readiness::InService);
         self.ready.is_empty() && !self.banned.is_empty() && in_service()
     }
-    pub fn census(&self, now: Time) -> Census {
+    pub fn worker_counts(&self, now: Time) -> WorkerCounts {
         let listed = || self.by_id.values().filter(|w| w.readiness != Readiness::Gone);
         let skipped = listed().filter(|w| !w.ready || now < w.ejected_until).count();
-        Census { known: listed().count(), skipped }
+        WorkerCounts { known: listed().count(), skipped }
     }
     #[must_use = "the order of those in service is not kept otherwise"]
     fn set_readiness(&mut self, id: WorkerId, readiness: Readiness) -> Option<WorkerId> {
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -33,9 +33,15 @@
 pub(crate) const ERROR_MEMORY: Span = Span(10_000_000);
 
 impl Dispatcher {
-    pub(crate) fn on_note(&mut self, id: RequestId, attempt: usize, note: Note, out: &mut Vec<Action>) {
+    pub(crate) fn on_update(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        update: AttemptUpdate,
+        out: &mut Vec<Action>,
+    ) {
         let now = self.now;
-        let Some((worker, sent)) = self.requests.on_note(id, attempt, note, now) else { return };
+        let Some((worker, sent)) = self.requests.on_update(id, attempt, update, now) else { return };
         self.call_off(id, false, out);
         self.advance(id, out);
         let runs = ((now - sent).secs() - QUEUED_AFTER.secs()) / self.mean_run();
@@ -92,7 +98,7 @@
         match outcome {
             Outcome::Served => w.fails = 0,
             Outcome::TurnedAway => w.full_until = now + FULL_FOR,
-            Outcome::Cancelled | Outcome::NotSent | Outcome::Severed | Outcome::Unusable => return,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection | Outcome::Unusable => return,
             _ => {
                 let again = f64::from(w.fails).max(w.errors(now, ERROR_MEMORY) - 1.0).round() as u32;
                 w.ejected_until = now + Span(EJECTION.0 << again.min(EJECTION_DOUBLINGS));
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -21,4 +21,4 @@
 
 pub use api::*;
 pub use dispatcher::Dispatcher;
-pub use list_age::{ListAge, TOLD_WITHIN};
+pub use list_age::{ListAge, NOTIFIED_WITHIN};
--- a/crates/decisions/src/list_age.rs
+++ b/crates/decisions/src/list_age.rs
@@ -30,7 +30,7 @@
 use crate::api::{Discovery, Settings, Span, Time};
 
 /// Whatever discovery has to tell counts as told this much later at the latest, whether it arrived or not (PROTOCOL).
-pub const TOLD_WITHIN: Span = Span(6_000_000);
+pub const NOTIFIED_WITHIN: Span = Span(6_000_000);
 const MOVE_COUNTS: Span = Span(4_000_000); // what another discovery has to tell, after SIGHUP (LATER.md)
 const FAILED_CALLS: i64 = 4; // times `ask_every` is what a call that failed leaves (PROTOCOL, `rules.ask_every_ms`)
 const AGENT: Span = Span(500_000); // a pushed list is this old at most without a word from the agent
@@ -71,7 +71,7 @@
         ListAge {
             pushed,
             ask_every: settings.rules.ask_every,
-            dispatchers: settings.balancers as i64,
+            dispatchers: settings.dispatchers as i64,
             open: pushed,
             fails: 0,
             seen: Time::default(),
@@ -83,18 +83,18 @@
     }
 
     /// The dispatcher's first moment. All start together after an outage, so first calls are spread.
-    pub fn born(&mut self, now: Time, rng: &mut impl Rng) {
+    pub fn start(&mut self, now: Time, rng: &mut impl Rng) {
         (self.asked, self.seen) = (now, now);
         self.next = now + Span(rng.random_range(0..=self.ask_every.0 / 4));
     }
 
     /// A list, or changes of it: a watch is open.
-    pub fn heard(&mut self) {
+    pub fn on_list(&mut self) {
         (self.open, self.fails, self.doubt, self.unread) = (true, 0, None, None);
     }
 
     /// The watch ended or, if none was open, the call failed.
-    pub fn lost(&mut self, now: Time, rng: &mut impl Rng) {
+    pub fn on_failure(&mut self, now: Time, rng: &mut impl Rng) {
         if !self.ends(now) {
             self.fails = self.fails.saturating_add(1);
         }
@@ -102,23 +102,23 @@
     }
 
     /// An answer came that cannot be used: what it told holds, whatever that is.
-    pub fn unusable(&mut self, now: Time, rng: &mut impl Rng) {
+    pub fn on_unusable(&mut self, now: Time, rng: &mut impl Rng) {
         self.unread.get_or_insert(now);
-        self.lost(now, rng);
+        self.on_failure(now, rng);
     }
 
     /// Nothing came on the watch since then, so it was given up.
-    pub fn silent(&mut self, since: Time, now: Time, rng: &mut impl Rng) {
+    pub fn on_silence(&mut self, since: Time, now: Time, rng: &mut impl Rng) {
         self.ends(since);
-        self.doubts(since + TOLD_WITHIN);
+        self.doubts(since + NOTIFIED_WITHIN);
         self.plan(now, rng);
     }
 
     /// The list comes from elsewhere from now on, and the host asks there by itself.
-    pub fn moved(&mut self, now: Time) {
+    pub fn on_source_change(&mut self, now: Time) {
         self.ends(now);
         self.doubts(now + MOVE_COUNTS);
-        self.asks(now);
+        self.on_call(now);
     }
 
     /// Whether a watch was open, which had told everything by then.
@@ -140,22 +140,22 @@
     }
 
     /// When one will be.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_call(&self) -> Option<Time> {
         (!self.open).then_some(self.next)
     }
 
     /// A call begins. Not again before it is answered or has failed: many that ask anew each moment hear nothing.
-    pub fn asks(&mut self, now: Time) {
+    pub fn on_call(&mut self, now: Time) {
         (self.asked, self.next) = (now, now + WAIT);
     }
 
     /// Whether the list may be gone by.
-    pub fn is_trusted(&self, now: Time) -> bool {
-        self.holds_until().is_none_or(|until| now < until)
+    pub fn is_valid(&self, now: Time) -> bool {
+        self.valid_until().is_none_or(|until| now < until)
     }
 
     /// Until when the list may be gone by; none while a watch is open.
-    pub fn holds_until(&self) -> Option<Time> {
+    pub fn valid_until(&self) -> Option<Time> {
         (!self.open).then(|| self.until())
     }
 
@@ -169,7 +169,7 @@
                 (self.seen + self.ask_every).max(self.asked + Span(self.ask_every.0.saturating_mul(calls)));
             self.doubt.map_or(known, |doubt| doubt.min(known))
         };
-        let allowed = allowed.min(self.seen + TOLD_WITHIN);
+        let allowed = allowed.min(self.seen + NOTIFIED_WITHIN);
         self.unread.map_or(allowed, |unread| allowed.min(unread))
     }
 
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -207,7 +207,7 @@
     /// The state of a worker towards a key of which each of its workers runs `part` slots.
     fn state(&self, w: &Worker, slots: f64, part: f64) -> State {
         let (capacity, occupied) = (self.slots(w), self.occupied(w).max(part));
-        let queued = self.settings.tells_start && w.waits(self.now, QUEUED_AFTER);
+        let queued = self.settings.reports_start && w.waits(self.now, QUEUED_AFTER);
         let full = occupied + slots > (T_FULL * capacity).max(slots) + ROUNDING;
         match occupied >= T_BUSY * capacity {
             _ if queued || full || self.now < w.full_until => State::Full,
@@ -229,7 +229,7 @@
 
     /// Whether so many share the fleet that each sees but a sliver of a worker's jobs, and hears of it seldom.
     pub(crate) fn shared(&self) -> bool {
-        self.settings.balancers > PROBERS
+        self.settings.dispatchers > PROBERS
     }
 
     /// Whether workers are asked for their load; answers bring a sliver of a large fleet too little of it.
@@ -247,7 +247,7 @@
     /// Dispatchers that send a key to the same workers: all, or those of a zone at the mean.
     fn sharers(&self) -> f64 {
         let zones = if self.roams() { 1 } else { self.settings.zones.len().max(1) };
-        (self.settings.balancers as f64 / zones as f64).max(1.0)
+        (self.settings.dispatchers as f64 / zones as f64).max(1.0)
     }
 
     /// Whether a key has its workers in all zones: crossings cost less than a set of workers in each.
--- a/crates/decisions/src/requests.rs
+++ b/crates/decisions/src/requests.rs
@@ -84,7 +84,7 @@
             class: r.class,
             tenant: r.tenant,
             key,
-            tag: r.tag,
+            tag: r.idempotency_hash,
             before: None,
             work: r.work,
             slots: r.slots,
@@ -213,15 +213,15 @@
         which
     }
     /// Takes what a worker tells of an attempt; returns the worker and when it was sent to, if it has just started.
-    pub fn on_note(
+    pub fn on_update(
         &mut self,
         id: RequestId,
         attempt: usize,
-        note: Note,
+        update: AttemptUpdate,
         now: Time,
     ) -> Option<(WorkerId, Time)> {
         let a = self.jobs.get_mut(&id)?.attempts.get_mut(attempt)?;
-        let starts = note == Note::Started && a.started.is_none();
+        let starts = update == AttemptUpdate::Started && a.started.is_none();
         a.started = a.started.or(starts.then_some(now));
         a.heard = a.started.map(|_| now);
         starts.then_some((a.worker, a.sent))
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -28,13 +28,14 @@
             .attempts
             .iter()
             .all(|a| a.state != AttemptState::Pending || (a.started.is_none() && !a.called_off));
-        let (copies, offers) = (limits.second_copies, limits.cancel && self.settings.tells_start);
+        let (copies, offers) = (limits.second_copies, limits.cancel && self.settings.reports_start);
         let spent = job.attempts.len() >= limits.max_attempts || self.now >= self.latest_start(job);
         let offer =
             job.attempts.last().map_or(last, |a| a.sent) + Span((class.aim.0 as f64 * HEDGE_AFTER) as i64);
         let may = waits && offers && !spent && class.effect != Effect::Unsafe;
         // A worker that runs it and says nothing: what must not run twice fails at once, the rest goes elsewhere.
-        let silent = job.silent_at(Span(self.settings.progress.0 * SILENT)).filter(|_| limits.cancel);
+        let silent =
+            job.silent_at(Span(self.settings.progress_interval.0 * SILENT)).filter(|_| limits.cancel);
         let (mut job, next) = (job.clone(), if may && self.now < offer { offer.min(last) } else { last });
         self.requests.schedule(id, Some(silent.filter(|at| *at > self.now).map_or(next, |at| at.min(next))));
         if silent.is_some_and(|at| at <= self.now) {
@@ -93,7 +94,7 @@
     /// Until when a job may be sent: while its client waits, its list holds, and a repeat of it is dropped.
     fn send_by(&self, job: &Job) -> Time {
         let repeat = job.repeat_by(self.settings.classes[job.class.0].effect, TRANSIT);
-        self.list.holds_until().into_iter().chain(repeat).fold(job.deadline, Time::min)
+        self.list.valid_until().into_iter().chain(repeat).fold(job.deadline, Time::min)
     }
 
     /// The only place that sends.
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -15,14 +15,15 @@
         let Some(started) = w.started.filter(|at| self.now - *at < rules.ramp) else { return Some(i64::MIN) };
         let (age, ramp) = ((self.now - started).secs().max(0.0), rules.ramp.secs());
         let cost = self.costs.iter().map(|c| c.0).fold(1e-3, f64::max);
-        let full = PLANNED_PART * rules.fall_multiple * w.learned_slots.unwrap_or(PAPER_FULL) / cost;
-        let jobs = full * (rules.cold_from * age + (1.0 - rules.cold_from) * age * age / (2.0 * ramp));
-        let all = self.settings.balancers as u64;
-        let place = (self.settings.me as u64).wrapping_add(w.hash) % all;
+        let full = PLANNED_PART * rules.overload_multiple * w.learned_slots.unwrap_or(PAPER_FULL) / cost;
+        let jobs =
+            full * (rules.initial_capacity * age + (1.0 - rules.initial_capacity) * age * age / (2.0 * ramp));
+        let all = self.settings.dispatchers as u64;
+        let place = (self.settings.dispatcher_index as u64).wrapping_add(w.hash) % all;
         let turns = (jobs - place as f64) / all as f64;
         let into = (turns - turns.floor()) * all as f64 / (full * w.warmth(rules, self.now));
         // Of turns that opened before this process lived, an earlier one of the same number may have had its use.
-        let own = self.born.map_or(0.0, |at| (self.now - at).secs()).min(rules.fall_span.secs());
+        let own = self.born.map_or(0.0, |at| (self.now - at).secs()).min(rules.overload_window.secs());
         let open = turns >= 0.0 && into <= own && turns.floor() as i64 > w.turn_spent;
         open.then_some(turns.floor() as i64)
     }
--- a/crates/decisions/src/worker.rs
+++ b/crates/decisions/src/worker.rs
@@ -179,7 +179,7 @@
     pub fn warmth(&self, rules: &Rules, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let part = (now - started).secs() / rules.ramp.secs().max(1e-6);
-        (rules.cold_from + (1.0 - rules.cold_from) * part.max(0.0)).min(1.0)
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * part.max(0.0)).min(1.0)
     }
     /// What the orders of keys need to know of it.
     pub(crate) fn candidate(&self, id: WorkerId) -> Candidate {
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -85,14 +85,14 @@
 
 fn wanted(count: usize) -> Settings {
     let mut s = settings(&[Effect::Safe]);
-    (s.balancers, s.reporting) = (count, Reporting::Answers);
+    (s.dispatchers, s.reporting) = (count, Reporting::Answers);
     (s.limits.second_copies, s.limits.probes, s.limits.max_attempts) = (false, false, 1);
-    (s.rules.ramp, s.rules.fall_span) = (Span::from_ms(RAMP_MS), Span::from_ms(SPAN_MS));
+    (s.rules.ramp, s.rules.overload_window) = (Span::from_ms(RAMP_MS), Span::from_ms(SPAN_MS));
     s
 }
 
 fn starts(count: usize, me: usize, seed: u64) -> Dispatcher {
-    Dispatcher::new(Settings { me, ..wanted(count) }, seed).expect("settings")
+    Dispatcher::new(Settings { dispatcher_index: me, ..wanted(count) }, seed).expect("settings")
 }
 
 fn entries() -> Event {
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -12,8 +12,8 @@
 
 pub fn settings(effects: &[Effect]) -> Settings {
     Settings {
-        me: 0,
-        balancers: 1,
+        dispatcher_index: 0,
+        dispatchers: 1,
         zone: "here".into(),
         zones: vec!["here".into()],
         kinds: vec!["small".into(), "large".into()],
@@ -23,8 +23,8 @@
         worth_by: WorthBy::Request,
         discovery: Discovery::Automatic,
         reporting: Reporting::Answers,
-        tells_start: true,
-        progress: Span::from_ms(2_000.0),
+        reports_start: true,
+        progress_interval: Span::from_ms(2_000.0),
         cross_zone_price: 0.0,
         waste_price: 0.02,
         quantum: Span::from_ms(4.0),
@@ -40,10 +40,10 @@
             answer_slack: Span::from_ms(16.0),
             ask_every: Span::from_ms(10_000.0),
             drain_grace: Span::from_ms(500.0),
-            cold_from: 0.14,
+            initial_capacity: 0.14,
             ramp: Span::from_ms(20_000.0),
-            fall_multiple: 3.0,
-            fall_span: Span::from_ms(1000.0),
+            overload_multiple: 3.0,
+            overload_window: Span::from_ms(1000.0),
         },
     }
 }
@@ -66,7 +66,7 @@
 
 pub fn request(id: u64, class: usize, key: Option<&str>, deadline: Time) -> Event {
     Event::Request(Request {
-        tag: None,
+        idempotency_hash: None,
         id: RequestId(id),
         class: ClassId(class),
         tenant: None,
--- a/crates/decisions/tests/list_age.rs
+++ b/crates/decisions/tests/list_age.rs
@@ -11,9 +11,9 @@
     Span(ms * 1000)
 }
 
-fn list_age(discovery: Discovery, ask_every: i64, balancers: usize) -> ListAge {
+fn list_age(discovery: Discovery, ask_every: i64, dispatchers: usize) -> ListAge {
     let mut s = settings(&[Effect::Safe]);
-    (s.discovery, s.rules.ask_every, s.balancers) = (discovery, ms(ask_every), balancers);
+    (s.discovery, s.rules.ask_every, s.dispatchers) = (discovery, ms(ask_every), dispatchers);
     ListAge::new(&s)
 }
 
@@ -44,11 +44,11 @@
     #[test]
     fn no_list_is_gone_by_once_what_it_lacks_counts_as_told(
         steps in prop::collection::vec((0..6u8, 10..3000i64), 1..40),
-        (ask_every, balancers, seed) in (100..200_000i64, 1..400usize, 0..1000u64),
+        (ask_every, dispatchers, seed) in (100..200_000i64, 1..400usize, 0..1000u64),
     ) {
-        let mut age = list_age(Discovery::Subscribe, ask_every, balancers);
+        let mut age = list_age(Discovery::Subscribe, ask_every, dispatchers);
         let (mut now, mut rng) = (Time::from_ms(1e6), SmallRng::seed_from_u64(seed));
-        age.born(now, &mut rng);
+        age.start(now, &mut rng);
         let mut told =
             Told { watch: false, word: now, call: now, failed: false, ended: now, doubts: Vec::new() };
         for (step, after) in steps {
@@ -60,32 +60,32 @@
                 0 => now = now + ms(after),
                 1 if told.watch => {
                     ends(&mut told, now);
-                    age.lost(now, &mut rng);
+                    age.on_failure(now, &mut rng);
                 }
                 2 if told.watch => {
                     now = now + ms(2500);
                     let word = told.word;
                     ends(&mut told, word);
                     told.doubts.push(told.word + ms(6000));
-                    age.silent(told.word, now, &mut rng);
+                    age.on_silence(told.word, now, &mut rng);
                 }
                 3 | 4 if !told.watch => {
-                    age.asks(now);
+                    age.on_call(now);
                     told.call = now;
                     now = now + ms(after.min(2200));
                     told.failed = step == 3;
                     if told.failed {
-                        age.lost(now, &mut rng);
+                        age.on_failure(now, &mut rng);
                     } else {
                         (told.watch, told.doubts) = (true, Vec::new());
-                        age.heard();
+                        age.on_list();
                     }
                 }
                 5 => {
                     ends(&mut told, now);
                     told.doubts.push(now + ms(4000));
                     told.call = now;
-                    age.moved(now);
+                    age.on_source_change(now);
                 }
                 _ => {}
             }
@@ -95,28 +95,28 @@
             // Before the next step, at every moment of what may be a long wait.
             for later in (0..60).map(|n| now + ms(n * 500)) {
                 let counts = told.first(later, ms(ask_every)).is_some_and(|first| first <= later);
-                prop_assert!(!(counts && age.is_trusted(later)), "trusted {} ms on", (later - now).ms());
+                prop_assert!(!(counts && age.is_valid(later)), "trusted {} ms on", (later - now).ms());
             }
         }
     }
 
     /// Of a call that takes as long as a call may, and of one that fails first.
     #[test]
-    fn a_silent_watch_is_replaced_before_its_list_is_too_old(balancers in 1..400usize, seed in 0..1000u64) {
-        let mut age = list_age(Discovery::Subscribe, 10_000, balancers);
+    fn a_silent_watch_is_replaced_before_its_list_is_too_old(dispatchers in 1..400usize, seed in 0..1000u64) {
+        let mut age = list_age(Discovery::Subscribe, 10_000, dispatchers);
         let mut rng = SmallRng::seed_from_u64(seed);
         let word = Time::from_ms(1e6);
-        age.born(word, &mut rng);
-        age.heard();
+        age.start(word, &mut rng);
+        age.on_list();
         let mut now = word + ms(2500);
-        age.silent(word, now, &mut rng);
-        let asked = age.next().expect("it asks");
+        age.on_silence(word, now, &mut rng);
+        let asked = age.next_call().expect("it asks");
         prop_assert!(asked + ms(2500) <= word + ms(6000), "asked after {} ms", (asked - word).ms());
-        prop_assert!(age.is_trusted(word + ms(5999)) && !age.is_trusted(word + ms(6000)));
-        age.asks(asked);
+        prop_assert!(age.is_valid(word + ms(5999)) && !age.is_valid(word + ms(6000)));
+        age.on_call(asked);
         now = asked + ms(5);
-        age.lost(now, &mut rng);
-        let again = age.next().expect("it asks again");
+        age.on_failure(now, &mut rng);
+        let again = age.next_call().expect("it asks again");
         prop_assert!(again + ms(1000) <= word + ms(6000), "asked again after {} ms", (again - word).ms());
     }
 }
@@ -131,13 +131,13 @@
             let (mut age, mut rng) =
                 (list_age(Discovery::Subscribe, 10_000, 300), SmallRng::seed_from_u64(seed));
             let now = Time::from_ms(1e6);
-            age.born(now, &mut rng);
-            age.heard();
+            age.start(now, &mut rng);
+            age.on_list();
             match silent {
-                true => age.silent(now, now + ms(2500), &mut rng),
-                false => age.lost(now, &mut rng),
+                true => age.on_silence(now, now + ms(2500), &mut rng),
+                false => age.on_failure(now, &mut rng),
             }
-            *calls.entry((age.next().expect("it asks") - now).0 / 100_000).or_insert(0) += 1;
+            *calls.entry((age.next_call().expect("it asks") - now).0 / 100_000).or_insert(0) += 1;
         }
         assert!(calls.values().all(|count| *count <= most), "{calls:?} in tenths of a second");
         assert!(calls.keys().all(|tenth| *tenth <= 35), "too late for an answer in time: {calls:?}");
@@ -149,36 +149,31 @@
 fn a_pushed_list_is_gone_by_only_while_the_agent_is_asked() {
     let (mut age, mut rng) = (list_age(Discovery::Automatic, 0, 300), SmallRng::seed_from_u64(1));
     let mut now = Time::from_ms(1e6);
-    age.born(now, &mut rng);
-    assert!(age.is_trusted(now) && age.next().is_none(), "its host asks at the start");
-    age.heard();
-    assert!(age.is_trusted(now + ms(3_600_000)), "an open watch is for good");
-    age.lost(now, &mut rng);
+    age.start(now, &mut rng);
+    assert!(age.is_valid(now) && age.next_call().is_none(), "its host asks at the start");
+    age.on_list();
+    assert!(age.is_valid(now + ms(3_600_000)), "an open watch is for good");
+    age.on_failure(now, &mut rng);
     let ended = now;
     for _ in 0..60 {
-        let next = age.next().expect("it asks");
+        let next = age.next_call().expect("it asks");
         assert!(next - now <= ms(240), "after {} ms", (next - now).ms());
-        assert_eq!(
-            age.is_trusted(next),
-            next < ended + ms(6000),
-            "{} ms after the watch",
-            (next - ended).ms()
-        );
-        age.asks(next);
-        assert!(!age.is_trusted(next + ms(500)), "a call that hangs says nothing");
+        assert_eq!(age.is_valid(next), next < ended + ms(6000), "{} ms after the watch", (next - ended).ms());
+        age.on_call(next);
+        assert!(!age.is_valid(next + ms(500)), "a call that hangs says nothing");
         now = next + ms(5);
-        age.lost(now, &mut rng);
+        age.on_failure(now, &mut rng);
     }
     assert!(now > ended + ms(6000), "long enough to tell");
     // The watch alone is silent, or the agent, too: 6 s.
-    age.heard();
+    age.on_list();
     let word = now;
-    age.silent(word, word + ms(2500), &mut rng);
+    age.on_silence(word, word + ms(2500), &mut rng);
     for failed in 0..5 {
-        assert!(age.is_trusted(word + ms(5999)), "{failed} calls failed");
-        assert!(!age.is_trusted(word + ms(6000)), "{failed} calls failed");
-        age.asks(word + ms(5600 + failed));
-        age.lost(word + ms(5900 + failed), &mut rng);
+        assert!(age.is_valid(word + ms(5999)), "{failed} calls failed");
+        assert!(!age.is_valid(word + ms(6000)), "{failed} calls failed");
+        age.on_call(word + ms(5600 + failed));
+        age.on_failure(word + ms(5900 + failed), &mut rng);
     }
 }
 
@@ -191,24 +186,24 @@
         for (seed, takes) in (0..50).zip([1, 300, 2200].into_iter().cycle()) {
             let (mut age, mut rng) = (list_age(discovery, ask_every, 300), SmallRng::seed_from_u64(seed));
             let ended = Time::from_ms(1e6);
-            age.born(ended, &mut rng);
-            age.heard();
-            age.lost(ended, &mut rng);
+            age.start(ended, &mut rng);
+            age.on_list();
+            age.on_failure(ended, &mut rng);
             let mut now = ended;
             while now < ended + ms(40_000) {
-                now = age.next().expect("it asks for ever").max(now);
-                age.asks(now);
+                now = age.next_call().expect("it asks for ever").max(now);
+                age.on_call(now);
                 now = now + ms(takes);
                 assert!(
-                    !age.is_trusted(now) || now < ended + ms(6000),
+                    !age.is_valid(now) || now < ended + ms(6000),
                     "{discovery:?} {} ms on",
                     (now - ended).ms()
                 );
-                age.lost(now, &mut rng);
+                age.on_failure(now, &mut rng);
             }
             // What came back tells all: nothing is left of the doubt.
-            age.heard();
-            assert!(age.is_trusted(now + ms(60_000)) && age.holds_until().is_none());
+            age.on_list();
+            assert!(age.is_valid(now + ms(60_000)) && age.valid_until().is_none());
         }
     }
 }
@@ -220,12 +215,12 @@
         for seed in 0..50 {
             let (mut age, mut rng) = (list_age(discovery, 10_000, 300), SmallRng::seed_from_u64(seed));
             let mut now = Time::from_ms(1e6);
-            age.born(now, &mut rng);
-            age.heard();
-            age.unusable(now, &mut rng);
+            age.start(now, &mut rng);
+            age.on_list();
+            age.on_unusable(now, &mut rng);
             for call in 0..20 {
-                assert!(!age.is_trusted(now), "{discovery:?}, call {call}");
-                let next = age.next().expect("it asks again");
+                assert!(!age.is_valid(now), "{discovery:?}, call {call}");
+                let next = age.next_call().expect("it asks again");
                 assert!(
                     next - now <= ms(30_000),
                     "{discovery:?}, call {call} after {} ms",
@@ -233,15 +228,15 @@
                 );
                 assert!(call > 0 || next - now <= ms(600), "{discovery:?}: the first call anew is soon");
                 now = next;
-                age.asks(now);
+                age.on_call(now);
                 match call % 3 {
-                    0 => age.lost(now, &mut rng),
-                    1 => age.unusable(now, &mut rng),
-                    _ => age.moved(now),
+                    0 => age.on_failure(now, &mut rng),
+                    1 => age.on_unusable(now, &mut rng),
+                    _ => age.on_source_change(now),
                 }
             }
-            age.heard();
-            assert!(age.is_trusted(now + ms(60_000)), "a list can be read");
+            age.on_list();
+            assert!(age.is_valid(now + ms(60_000)), "a list can be read");
         }
     }
 }
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -27,7 +27,7 @@
 fn dispatchers_agree_on_a_keys_worker_without_talk() {
     let first = |seed: u64, me: usize| {
         let mut s = settings(&[Effect::Safe]);
-        (s.me, s.balancers) = (me, 4);
+        (s.dispatcher_index, s.dispatchers) = (me, 4);
         let mut host =
             Host { d: rookspoke_decisions::Dispatcher::new(s, seed).expect("settings"), ms: 1000.0 };
         host.tell(list(ListScope::Remembered, (0..12).map(listing).collect()));
@@ -53,7 +53,7 @@
         let mut host = Host::new(settings(&[Effect::Safe]), 1);
         assert!(sent_to(&host.ask(1, 0, Some("k"))).is_some());
         host.ms += late;
-        host.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Started });
+        host.tell(Event::AttemptUpdate { request: RequestId(1), attempt: 0, update: AttemptUpdate::Started });
         serve(&mut host, 1, None);
         assert!(sent_to(&host.ask(2, 0, Some("l"))).is_some(), "refused after one start {late} ms late");
     }
@@ -62,7 +62,11 @@
     let sent = (1..60).filter(|id| {
         let sent = sent_to(&host.ask(*id, 0, Some("k"))).is_some();
         host.ms += 900.0;
-        host.tell(Event::Note { request: RequestId(*id), attempt: 0, note: Note::Started });
+        host.tell(Event::AttemptUpdate {
+            request: RequestId(*id),
+            attempt: 0,
+            update: AttemptUpdate::Started,
+        });
         serve(&mut host, *id, None);
         sent
     });
@@ -207,8 +211,8 @@
     let deadline = host.now() + Span::from_ms(30_000.0);
     sent_to(&host.tell(request(1, class, Some("k"), deadline))).expect("sent");
     let (request, attempt) = (RequestId(1), 0);
-    for note in [Note::Started, Note::Progress(0.2), Note::Progress(0.4)] {
-        let out = host.tell(Event::Note { request, attempt, note });
+    for update in [AttemptUpdate::Started, AttemptUpdate::Progress(0.2), AttemptUpdate::Progress(0.4)] {
+        let out = host.tell(Event::AttemptUpdate { request, attempt, update });
         assert!(!cancels(&out), "it is being told of");
         host.ms += 3_900.0;
         assert!(!cancels(&host.tell(Event::Timer(0))), "one note may be late");
@@ -244,7 +248,7 @@
     s.classes[0].aim = Span::from_ms(8_000.0);
     let mut host = Host::new(s, 4);
     let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
-    host.tell(Event::Note { request: RequestId(1), attempt: 0, note: Note::Started });
+    host.tell(Event::AttemptUpdate { request: RequestId(1), attempt: 0, update: AttemptUpdate::Started });
     host.ms += 4_000.0;
     assert!(cancels(&host.tell(Event::Timer(0))));
     let again = sent_to(&host.tell(ended(1, 0, Outcome::Cancelled, false, None)));
@@ -257,7 +261,7 @@
     let start = Time::from_ms(1_000.0);
     let born_at = |ms| {
         let mut s = settings(&[Effect::Safe]);
-        s.rules.fall_span = Span::from_ms(3_000.0);
+        s.rules.overload_window = Span::from_ms(3_000.0);
         let mut host = Host { d: Dispatcher::new(s, 7).expect("settings"), ms };
         let cold = Listing { started: Some(start), ..listing(0) };
         host.tell(list(ListScope::Complete, vec![cold]));
@@ -312,7 +316,7 @@
     host.ms += 150.0;
     let second = sent_to(&host.tell(Event::Timer(0))).expect("a second copy");
     assert_ne!(first, second);
-    let note = Event::Note { request: RequestId(1), attempt: 1, note: Note::Started };
+    let note = Event::AttemptUpdate { request: RequestId(1), attempt: 1, update: AttemptUpdate::Started };
     assert!(host.tell(note).contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
 }
 
@@ -347,7 +351,7 @@
 fn jobs_with_a_choice_leave_a_kind_that_others_need() {
     let mut s = settings(&[Effect::Safe, Effect::Safe]);
     s.classes[1].kind = Some(KindId(1));
-    s.tells_start = false;
+    s.reports_start = false;
     let mut host = Host::new(s, 0);
     let kind = |at: usize| if at < 3 { "large" } else { "small" };
     let workers = (0..6).map(|at| Listing { kind: kind(at).into(), ..listing(at) });
@@ -468,7 +472,7 @@
 /// Six workers in racks of three, and a job of a keyed class that is out at the first one of its key.
 fn with_a_keyed_job(group: Group) -> (Host, String) {
     let mut s = settings(&[Effect::Keyed { group, window: Span::from_ms(2_500.0) }]);
-    s.tells_start = false;
+    s.reports_start = false;
     let mut host = Host::new(s, 6);
     let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
     (host, first)
@@ -518,7 +522,7 @@
     let tagged = |host: &mut Host, id: u64, tag: u64| {
         let deadline = host.now() + Span::from_ms(5000.0);
         let Event::Request(mut r) = request(id, 0, Some(&format!("k{id}")), deadline) else { unreachable!() };
-        r.tag = Some(tag);
+        r.idempotency_hash = Some(tag);
         sent_to(&host.tell(Event::Request(r)))
     };
     let racks = |outcome: Option<Outcome>| {
@@ -616,7 +620,11 @@
     let quiet = |out: Vec<Action>| out.iter().all(|a| matches!(a, Action::SetTimer { .. }));
     assert!(quiet(host.tell(ended(77, 3, Outcome::Served, true, None))));
     assert!(quiet(host.tell(Event::ClientGone(RequestId(5)))));
-    assert!(quiet(host.tell(Event::Note { request: RequestId(9), attempt: 4, note: Note::Started })));
+    assert!(quiet(host.tell(Event::AttemptUpdate {
+        request: RequestId(9),
+        attempt: 4,
+        update: AttemptUpdate::Started
+    })));
     assert!(quiet(host.tell(Event::StreamStarted { request: RequestId(9), attempt: 0 })));
 }
 
@@ -629,8 +637,8 @@
     };
     assert_eq!(told(|_| {}), None);
     assert_eq!(told(|s| s.classes.clear()), Some("classes"));
-    assert_eq!(told(|s| s.balancers = 0), Some("balancers"));
-    assert_eq!(told(|s| s.me = 1), Some("me"));
+    assert_eq!(told(|s| s.dispatchers = 0), Some("balancers"));
+    assert_eq!(told(|s| s.dispatcher_index = 1), Some("me"));
     assert_eq!(told(|s| s.rules.ramp = Span(-1)), Some("rules.ramp"));
     assert_eq!(told(|s| s.classes[0].aim = Span(-5)), Some("classes.aim"));
 }
@@ -657,7 +665,7 @@
 #[test]
 fn a_fleet_shared_by_many_is_not_swept_with_probes() {
     let mut s = settings(&[Effect::Safe]);
-    (s.reporting, s.balancers) = (Reporting::Probe, 100);
+    (s.reporting, s.dispatchers) = (Reporting::Probe, 100);
     let mut host = Host::new(s, 0);
     host.ms += 300.0;
     let actions = host.tell(list(ListScope::Complete, (0..60).map(listing).collect()));
@@ -670,7 +678,7 @@
 #[test]
 fn a_new_job_waits_for_a_probe_where_many_share_the_fleet() {
     let mut s = settings(&[Effect::Unsafe]);
-    (s.reporting, s.balancers) = (Reporting::Probe, 100);
+    (s.reporting, s.dispatchers) = (Reporting::Probe, 100);
     let mut host = Host::new(s, 8);
     let mut actions = host.ask(1, 0, Some("k"));
     assert!(sent_to(&actions).is_none(), "{actions:?}");
@@ -711,7 +719,7 @@
 #[test]
 fn many_dispatchers_ask_again_no_faster_than_discovery_can_answer_them() {
     let mut s = settings(&[Effect::Safe]);
-    (s.discovery, s.balancers) = (Discovery::Subscribe, 100);
+    (s.discovery, s.dispatchers) = (Discovery::Subscribe, 100);
     let mut host = Host::new(s, 2);
     let (mut asked, start) = (0, host.ms);
     while host.ms < start + 60_000.0 {
@@ -728,9 +736,9 @@
 /// never: its workers were believed as full as the near ones, and stood idle beside them on a calm day.
 #[test]
 fn where_many_share_a_fleet_workers_are_asked_though_answers_report_as_well() {
-    for (balancers, asks) in [(100, true), (4, false)] {
+    for (dispatchers, asks) in [(100, true), (4, false)] {
         let mut s = settings(&[Effect::Safe]);
-        (s.reporting, s.balancers) = (Reporting::Answers, balancers);
+        (s.reporting, s.dispatchers) = (Reporting::Answers, dispatchers);
         s.zones.push("there".into());
         let mut host = Host::new(s, 0);
         let entry = |at| Listing { zone: if at < 2 { "here" } else { "there" }.into(), ..listing(at) };
@@ -748,7 +756,7 @@
                 told.extend(host.tell(Event::Probed { worker, outcome: Outcome::Served, latency, load }));
             }
         }
-        assert_eq!(probed.contains("w2") && probed.contains("w3"), asks, "{balancers}: {probed:?}");
+        assert_eq!(probed.contains("w2") && probed.contains("w3"), asks, "{dispatchers}: {probed:?}");
         let sent = sent_to(&host.ask(100, 0, Some("k")));
         assert!(!asks || sent.as_deref() == Some("w2") || sent.as_deref() == Some("w3"), "{sent:?}");
     }
@@ -758,7 +766,7 @@
 #[test]
 fn an_attempt_after_one_that_found_nobody_waits_for_a_probe_too() {
     let mut s = settings(&[Effect::Unsafe]);
-    (s.reporting, s.balancers) = (Reporting::Probe, 100);
+    (s.reporting, s.dispatchers) = (Reporting::Probe, 100);
     let mut host = Host::new(s, 8);
     host.ask(1, 0, Some("k"));
     host.ms += 100.0;
@@ -810,7 +818,7 @@
                 proptest::prop_assert!(takes(&name[1..].parse().expect("a number")));
                 serve(&mut host, id as u64, None);
             }
-            proptest::prop_assert_eq!(host.d.census(), Census { known: listed.len(), skipped: listed.len() - open });
+            proptest::prop_assert_eq!(host.d.worker_counts(), WorkerCounts { known: listed.len(), skipped: listed.len() - open });
             for worker in 0..4 {
                 let known = listed.contains_key(&worker) || out.contains(&worker);
                 proptest::prop_assert_eq!(host.d.knows(&format!("w{worker}")), known);
--- a/crates/decisions/tests/referee.rs
+++ b/crates/decisions/tests/referee.rs
@@ -123,11 +123,12 @@
         let part = (self.now - started).secs() / rules.ramp.secs();
         let now = self.now;
         let sends = self.cold_sends.entry(worker).or_default();
-        sends.retain(|at| now - *at < rules.fall_span && *at >= started);
+        sends.retain(|at| now - *at < rules.overload_window && *at >= started);
         sends.push(now);
         let work = sends.len() as f64 * 0.4;
-        let budget = rules.fall_multiple * (rules.cold_from + (1.0 - rules.cold_from) * part) * 8.0;
-        assert!(work <= (budget * rules.fall_span.secs()).max(0.4), "rule 4: {work} over {budget}");
+        let budget =
+            rules.overload_multiple * (rules.initial_capacity + (1.0 - rules.initial_capacity) * part) * 8.0;
+        assert!(work <= (budget * rules.overload_window.secs()).max(0.4), "rule 4: {work} over {budget}");
         self.count("sent cold");
     }
 
@@ -229,10 +230,10 @@
             18 => Some(list(ListScope::Failed, Vec::new())),
             _ => {
                 let id = w.rng.random_range(0..step.max(1));
-                w.asks.get(&id).filter(|a| !a.tries.is_empty()).map(|a| Event::Note {
+                w.asks.get(&id).filter(|a| !a.tries.is_empty()).map(|a| Event::AttemptUpdate {
                     request: RequestId(id),
                     attempt: a.tries.len() - 1,
-                    note: Note::Started,
+                    update: AttemptUpdate::Started,
                 })
             }
         };
@@ -268,12 +269,12 @@
 
 #[test]
 fn all_dispatchers_together_stay_within_a_cold_workers_budget() {
-    for balancers in [1, 7, 40, 150] {
+    for dispatchers in [1, 7, 40, 150] {
         let start = Time::from_ms(10_000.0);
-        let mut hosts: Vec<Host> = (0..balancers)
+        let mut hosts: Vec<Host> = (0..dispatchers)
             .map(|me| {
                 let mut s = settings(&[Effect::Safe]);
-                (s.me, s.balancers) = (me, balancers);
+                (s.dispatcher_index, s.dispatchers) = (me, dispatchers);
                 let mut host = Host::new(s, 0);
                 host.ms = start.ms();
                 host.tell(list(ListScope::Complete, vec![Listing { started: Some(start), ..listing(0) }]));
@@ -292,11 +293,14 @@
                 }
             }
         }
-        assert!(sends.len() > 20, "{balancers}: a cold worker gets work: {}", sends.len());
+        assert!(sends.len() > 20, "{dispatchers}: a cold worker gets work: {}", sends.len());
         for (at, from) in sends.iter().enumerate() {
             let work = sends[at..].iter().take_while(|ms| **ms < from + 1000.0).count() as f64 * 0.4;
             let share = 0.14 + 0.86 * (from - start.ms()) / 20_000.0;
-            assert!(work <= 3.0 * share * 8.0, "{balancers}: {work} s of work in a second at share {share}");
+            assert!(
+                work <= 3.0 * share * 8.0,
+                "{dispatchers}: {work} s of work in a second at share {share}"
+            );
         }
     }
 }
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use rookspoke_decisions::{Census, ClassId, EndReason, Name};
+use rookspoke_decisions::{ClassId, EndReason, Name, WorkerCounts};
 
 use super::Answer;
 
@@ -119,10 +119,10 @@
 }
 
 impl Gauges {
-    pub(crate) fn publish(&self, open: usize, census: Census) {
+    pub(crate) fn publish(&self, open: usize, counts: WorkerCounts) {
         self.open.set(open);
-        self.known.set(census.known);
-        self.skipped.set(census.skipped);
+        self.known.set(counts.known);
+        self.skipped.set(counts.skipped);
     }
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -19,7 +19,7 @@
 pub use task::{Core, Limits};
 
 use rookspoke_decisions::{
-    Ban, ClassId, ListScope, Listing, LoadReport, Name, Note, Outcome, RequestId, TenantId, Time,
+    AttemptUpdate, Ban, ClassId, ListScope, Listing, LoadReport, Name, Outcome, RequestId, TenantId, Time,
 };
 
 /// What a front asks for: the part of a request that the decisions need, and what its transport carries.
@@ -137,7 +137,7 @@
 enum Input<C, R> {
     Ask(RequestId, Ask<C>, oneshot::Sender<Answer<R>>),
     ClientGone(RequestId),
-    Note(RequestId, usize, Note),
+    Note(RequestId, usize, AttemptUpdate),
     List(ListScope, Arc<[Listing]>),
 }
 
@@ -202,8 +202,8 @@
     }
 
     /// Passes on news of a call attempt.
-    pub async fn note(&self, request: RequestId, attempt: usize, note: Note) {
-        let _ = self.queue.send(Input::Note(request, attempt, note)).await;
+    pub async fn note(&self, request: RequestId, attempt: usize, update: AttemptUpdate) {
+        let _ = self.queue.send(Input::Note(request, attempt, update)).await;
     }
 
     /// Passes on news of the list.
--- a/crates/dispatch/src/task.rs
+++ b/crates/dispatch/src/task.rs
@@ -162,7 +162,7 @@
             }
             if now >= self.publish {
                 self.publish = now + PUBLISH;
-                self.counters.now.publish(self.ledger.open_requests(), self.dispatcher.census());
+                self.counters.now.publish(self.ledger.open_requests(), self.dispatcher.worker_counts());
             }
         }
     }
@@ -203,7 +203,7 @@
                     class: ask.class,
                     tenant: ask.tenant,
                     key: ask.key,
-                    tag: ask.tag,
+                    idempotency_hash: ask.tag,
                     work: ask.work,
                     slots: ask.slots,
                     memory: ask.memory,
@@ -217,11 +217,11 @@
                     self.events.push_back(Event::ClientGone(id));
                 }
             }
-            Input::Note(request, attempt, note) => {
+            Input::Note(request, attempt, update) => {
                 let entry = self.ledger.get_mut(request);
                 let out = entry.and_then(|e| e.attempts.get(attempt)).is_some_and(|a| a.abort.is_some());
                 if out {
-                    self.events.push_back(Event::Note { request, attempt, note });
+                    self.events.push_back(Event::AttemptUpdate { request, attempt, update });
                 }
             }
             Input::List(scope, entries) => {
@@ -230,7 +230,7 @@
                     ListScope::Failed | ListScope::Unusable | ListScope::Silent { .. } => {
                         self.counters.lists_failed.add();
                     }
-                    ListScope::Remembered | ListScope::Moved => {}
+                    ListScope::Remembered | ListScope::SourceChanged => {}
                 }
                 self.events.push_back(Event::List { scope, entries });
             }
@@ -361,7 +361,9 @@
                 self.jobs.insert(abort.id(), Job::Probe(worker, now));
             }
             Action::CloseIdle(worker) => self.transport.close_idle(&worker),
-            Action::Tell { .. } => tracing::debug!("dispatchers have no way to talk: a message is dropped"),
+            Action::SendToPeer { .. } => {
+                tracing::debug!("dispatchers have no way to talk: a message is dropped")
+            }
             Action::Log(text) => tracing::info!("{text}"),
         }
     }
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -17,9 +17,9 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rookspoke_decisions::{
-    Action, AttemptEnd, ClassId, Discovery, Effect, Event, Limits, ListScope, Listing, LoadReport, Name,
-    Note, Outcome, Readiness, Reporting, Request, RequestId, Rules, Settings, SettingsError, Span, Time,
-    WorthBy,
+    Action, AttemptEnd, AttemptUpdate, ClassId, Discovery, Effect, Event, Limits, ListScope, Listing,
+    LoadReport, Name, Outcome, Readiness, Reporting, Request, RequestId, Rules, Settings, SettingsError,
+    Span, Time, WorthBy,
 };
 
 pub use draw::{arrivals, hit, is_costly, make, Arrival};
@@ -177,8 +177,8 @@
         kind: None,
     });
     Settings {
-        me: number,
-        balancers: s.count("dispatchers"),
+        dispatcher_index: number,
+        dispatchers: s.count("dispatchers"),
         zone: zone_name(number % s.count("zones")),
         zones,
         kinds: vec!["std".into()],
@@ -188,8 +188,8 @@
         worth_by: WorthBy::Request,
         discovery: Discovery::Subscribe,
         reporting: Reporting::Probe,
-        tells_start: true,
-        progress: Span(0),
+        reports_start: true,
+        progress_interval: Span(0),
         cross_zone_price: 0.03,
         waste_price: 0.02,
         quantum: s.span("tick"),
@@ -205,10 +205,10 @@
             answer_slack: s.span("rules.answer-slack"),
             ask_every: s.span("rules.ask-every"),
             drain_grace: s.span("rules.drain-grace"),
-            cold_from: s.get("rules.cold-from"),
+            initial_capacity: s.get("rules.cold-from"),
             ramp: s.span("rules.cold-for"),
-            fall_multiple: s.get("rules.fall-multiple"),
-            fall_span: s.span("rules.fall-span"),
+            overload_multiple: s.get("rules.fall-multiple"),
+            overload_window: s.span("rules.fall-span"),
         },
     }
 }
@@ -370,7 +370,10 @@
                 let a = &self.attempts[attempt];
                 if a.out {
                     let (request, attempt, seat) = (RequestId(a.id), a.number, a.seat);
-                    self.tell(seat, Event::Note { request, attempt, note: Note::Started });
+                    self.tell(
+                        seat,
+                        Event::AttemptUpdate { request, attempt, update: AttemptUpdate::Started },
+                    );
                 }
             }
             What::WorkerStep(worker, version) => {
@@ -449,7 +452,7 @@
         let (id, seat, deadline) = (one.id, one.seat, one.deadline);
         let effect = self.s.classes[one.class].effect();
         let request = Request {
-            tag: None,
+            idempotency_hash: None,
             id: RequestId(id),
             class: ClassId(one.class),
             tenant: None,
@@ -625,7 +628,7 @@
                     self.machines[worker].connections -= closed;
                 }
             }
-            Action::Tell { .. } | Action::Log(_) => {}
+            Action::SendToPeer { .. } | Action::Log(_) => {}
         }
     }
 
--- a/crates/emulator/src/policy/simple.rs
+++ b/crates/emulator/src/policy/simple.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rookspoke_decisions::{
-    Action, Effect, EndReason, Event, ListScope, Name, Note, Outcome, Readiness, Request, RequestId,
+    Action, AttemptUpdate, Effect, EndReason, Event, ListScope, Name, Outcome, Readiness, Request, RequestId,
     Settings, Span, Time,
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -157,12 +157,13 @@
         if age >= rules.ramp.secs() {
             return true;
         }
-        let warmth = rules.cold_from + (1.0 - rules.cold_from) * age.max(0.0) / rules.ramp.secs();
-        let from = now - rules.fall_span;
+        let warmth =
+            rules.initial_capacity + (1.0 - rules.initial_capacity) * age.max(0.0) / rules.ramp.secs();
+        let from = now - rules.overload_window;
         let spent: f64 = worker.cold.iter().filter(|(at, _)| *at > from).map(|(_, work)| work).sum();
         // Capacity is not told; four cores is what most machines have.
-        let budget = COLD_PART * rules.fall_multiple * 4.0 * warmth * rules.fall_span.secs();
-        spent + self.mean_work(job) <= budget / self.s.balancers as f64
+        let budget = COLD_PART * rules.overload_multiple * 4.0 * warmth * rules.overload_window.secs();
+        spent + self.mean_work(job) <= budget / self.s.dispatchers as f64
     }
 
     fn choose(&mut self, job: &Job, now: Time) -> Option<usize> {
@@ -263,7 +264,7 @@
         let worker = &mut self.workers[place];
         worker.own += job.request.slots;
         if worker.started.is_some_and(|started| now - started < self.s.rules.ramp) {
-            let from = now - self.s.rules.fall_span;
+            let from = now - self.s.rules.overload_window;
             worker.cold.retain(|(at, _)| *at > from);
             worker.cold.push((now, work));
         }
@@ -325,7 +326,10 @@
                 }
             }
             Event::Timer(_) => self.armed = self.armed.filter(|at| *at > now),
-            Event::Note { note: Note::Started | Note::Progress(_) | Note::Other, .. }
+            Event::AttemptUpdate {
+                update: AttemptUpdate::Started | AttemptUpdate::Progress(_) | AttemptUpdate::Other,
+                ..
+            }
             | Event::StreamStarted { .. }
             | Event::Probed { .. }
             | Event::Peer { .. } => {}
--- a/crates/faktory/src/lib.rs
+++ b/crates/faktory/src/lib.rs
@@ -47,12 +47,12 @@
 /// themselves, tell when they start, and have neither zones nor kinds.
 fn settings(platform: &Settings) -> Settings {
     let mut s = platform.clone();
-    (s.me, s.balancers) = (0, 1);
+    (s.dispatcher_index, s.dispatchers) = (0, 1);
     (s.zone, s.zones) = (hall::ZONE.into(), vec![hall::ZONE.into()]);
     (s.discovery, s.reporting) = (Discovery::Automatic, Reporting::Answers);
-    (s.tells_start, s.limits.probes, s.limits.cancel) = (true, false, true);
+    (s.reports_start, s.limits.probes, s.limits.cancel) = (true, false, true);
     // A consumer says nothing of a job that it runs.
-    s.progress = Span(0);
+    s.progress_interval = Span(0);
     s.kinds.clear();
     s.classes.iter_mut().for_each(|c| c.kind = None);
     s.tenants.clear();
--- a/crates/faktory/src/transport.rs
+++ b/crates/faktory/src/transport.rs
@@ -9,7 +9,7 @@
 
 use super::codec::Job;
 use super::hall::{Claimed, Hall, Ticket};
-use rookspoke_decisions::{Name, Note, Outcome, Time};
+use rookspoke_decisions::{AttemptUpdate, Name, Outcome, Time};
 use rookspoke_dispatch::{CallAttempt, Clock, Ended, Handle, Probed, Transport};
 
 /// A job on its way through the core.
@@ -70,7 +70,7 @@
                 Ok(Err(_)) | Err(_) => return Outcome::TurnedAway.into(),
             };
             handle.counters().written.add();
-            handle.note(request, number, Note::Started).await;
+            handle.note(request, number, AttemptUpdate::Started).await;
             match timeout(reserve_for.min(clock.until(deadline)), outcome).await {
                 Ok(Ok(ended)) => ended,
                 // Its consumer had it and said nothing: it may have run.
--- a/crates/rig/src/dispatcher.rs
+++ b/crates/rig/src/dispatcher.rs
@@ -113,7 +113,7 @@
         "name": format!("n{number}"), "listen": listen, "console": listen, "discovery": discovery,
         "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": null,
         "settings": {
-            "balancers": set.balancers, "me": number, "zone": set.zone.as_ref(),
+            "balancers": set.dispatchers, "me": number, "zone": set.zone.as_ref(),
             "localities": set.zones.iter().map(|zone| zone.as_ref()).collect::<Vec<&str>>(),
             "machine_types": ["std"], "classes": classes, "discovery": "subscribe", "projects": [],
             "quantum_ms": s.get("tick"), "prices": {"cross_zone": set.cross_zone_price},
--- a/crates/wire/src/encode.rs
+++ b/crates/wire/src/encode.rs
@@ -41,7 +41,7 @@
         Action::SetTimer { at, token } => writeln!(out, "wake_at\t{}\t{token}", at.ms()),
         Action::Probe(worker) => writeln!(out, "probe\t{worker}"),
         Action::CloseIdle(worker) => writeln!(out, "release\t{worker}"),
-        Action::Tell { peer, content } => {
+        Action::SendToPeer { peer, content } => {
             let to = peer.map_or("-1".into(), |p| p.to_string());
             let bytes = if content.is_empty() { "-".into() } else { BASE64_STANDARD.encode(content) };
             writeln!(out, "publish\t{to}\t{bytes}")
--- a/crates/wire/src/parse.rs
+++ b/crates/wire/src/parse.rs
@@ -6,8 +6,8 @@
 
 use super::{Vocabulary, WireError};
 use rookspoke_decisions::{
-    AttemptEnd, ClassId, Event, ListScope, Listing, LoadReport, Name, Note, Outcome, Readiness, Request,
-    RequestId, Span, TenantId, Time,
+    AttemptEnd, AttemptUpdate, ClassId, Event, ListScope, Listing, LoadReport, Name, Outcome, Readiness,
+    Request, RequestId, Span, TenantId, Time,
 };
 
 /// One input line; values that depend on an instance's settings are read with its [`Vocabulary`].
@@ -114,7 +114,7 @@
         class,
         tenant,
         key,
-        tag: None,
+        idempotency_hash: None,
         work,
         slots: slots.max(0.0),
         memory: memory.max(0.0),
@@ -160,12 +160,12 @@
             known()?;
             let (request, attempt) = (f.id("ticket")?, f.int("n")?);
             f.text("worker")?;
-            let note = match f.int("what")? {
-                1 => Note::Started,
-                2 => Note::Progress(f.opt_num("level")?.unwrap_or(0.0)),
-                _ => Note::Other,
+            let update = match f.int("what")? {
+                1 => AttemptUpdate::Started,
+                2 => AttemptUpdate::Progress(f.opt_num("level")?.unwrap_or(0.0)),
+                _ => AttemptUpdate::Other,
             };
-            Line::Event(Event::Note { request, attempt, note })
+            Line::Event(Event::AttemptUpdate { request, attempt, update })
         }
         "report_back" => {
             let words = known()?;
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -209,8 +209,8 @@
         columns,
     };
     let settings = Settings {
-        me: pairs.count("me")?,
-        balancers: pairs.count("balancers")?,
+        dispatcher_index: pairs.count("me")?,
+        dispatchers: pairs.count("balancers")?,
         zone: pairs.text("zone")?.into(),
         zones: pairs.names("localities"),
         kinds: pairs.names("machine_types"),
@@ -220,8 +220,8 @@
         worth_by,
         discovery,
         reporting,
-        tells_start: pairs.flag("specifics.tells_start", false)?,
-        progress: Span::from_ms(pairs.opt_num("specifics.progress_ms")?.unwrap_or(0.0)),
+        reports_start: pairs.flag("specifics.tells_start", false)?,
+        progress_interval: Span::from_ms(pairs.opt_num("specifics.progress_ms")?.unwrap_or(0.0)),
         waste_price: pairs.opt_num("prices.waste")?.unwrap_or(0.0),
         cross_zone_price: pairs.opt_num("prices.cross_zone")?.unwrap_or(0.0),
         quantum: pairs.span("quantum_ms")?,
@@ -240,10 +240,10 @@
                 Discovery::Automatic => Span(0),
             },
             drain_grace: pairs.span("rules.stop_sending_within_ms")?,
-            cold_from: pairs.num("rules.cold_from")?,
+            initial_capacity: pairs.num("rules.cold_from")?,
             ramp: pairs.span("rules.ramp_time_ms")?,
-            fall_multiple: pairs.num("rules.fall_multiple")?,
-            fall_span: pairs.span("rules.overload_for_ms")?,
+            overload_multiple: pairs.num("rules.fall_multiple")?,
+            overload_window: pairs.span("rules.overload_for_ms")?,
         },
     };
     settings
