--- a/crates/decisions/src/fleet/tests.rs
+++ b/crates/decisions/src/fleet/tests.rs
@@ -43,18 +43,18 @@
                     }
                     listed.extend(entries.iter().copied());
                     let entry = |(at, readiness): &(usize, Readiness)| Listing { readiness: *readiness, ..listing(*at) };
-                    fleet.apply(scope, &entries.iter().map(entry).collect::<Vec<_>>(), &s, now);
+                    fleet.apply_list(scope, &entries.iter().map(entry).collect::<Vec<_>>(), &s, now);
                 }
                 Step::Bans(bans) => {
                     let ban = |at: &usize| Ban { worker: listing(*at).worker, since: now };
-                    fleet.ban(&bans.iter().map(ban).collect::<Vec<_>>(), now);
+                    fleet.apply_bans(&bans.iter().map(ban).collect::<Vec<_>>(), now);
                     banned = bans;
                 }
             }
             let in_service = listed.iter().filter(|(at, r)| **r == Readiness::InService && !banned.contains(*at));
             let mut expected: Vec<Name> = in_service.map(|(at, _)| listing(*at).worker).collect();
             expected.sort();
-            let ready: Vec<Name> = fleet.ready.iter().map(|id| fleet.get(*id).expect("a worker").name.clone()).collect();
+            let ready: Vec<Name> = fleet.in_service.iter().map(|id| fleet.get(*id).expect("a worker").name.clone()).collect();
             prop_assert_eq!(ready, expected);
         }
     }
--- a/crates/decisions/src/requests.rs
+++ b/crates/decisions/src/requests.rs
@@ -9,12 +9,12 @@
 
 /// The workers that share what they remember of a keyed request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Peers {
+pub enum DedupGroup {
     All,
     Zone(Name),
     Cell(u64),
     /// No group is known: the worker alone.
-    Alone(WorkerId),
+    Single(WorkerId),
 }
 
 /// What is known of one attempt's end.
@@ -32,16 +32,16 @@
 pub struct Attempt {
     pub worker: WorkerId,
     pub sent: Time,
-    pub peers: Peers,
+    pub peers: DedupGroup,
     pub state: AttemptState,
     pub started: Option<Time>,
     /// When the worker last told how far it is, from the start on.
     heard: Option<Time>,
-    pub called_off: bool,
+    pub cancelled: bool,
 }
 
 impl Attempt {
-    pub fn new(worker: WorkerId, sent: Time, peers: Peers) -> Self {
+    pub fn new(worker: WorkerId, sent: Time, peers: DedupGroup) -> Self {
         Attempt {
             worker,
             sent,
@@ -49,7 +49,7 @@
             state: AttemptState::Pending,
             started: None,
             heard: None,
-            called_off: false,
+            cancelled: false,
         }
     }
 }
@@ -63,7 +63,7 @@
     pub key: Option<KeyHash>,
     tag: Option<u64>,
     /// An earlier try of its client that may have run: who drops its repeat, and when it was sent first.
-    before: Option<(Peers, Time)>,
+    before: Option<(DedupGroup, Time)>,
     pub work: Option<Span>,
     pub slots: f64,
     pub memory: f64,
@@ -98,26 +98,26 @@
             due: None,
         }
     }
-    pub fn outstanding(&self) -> usize {
+    pub fn pending_attempts(&self) -> usize {
         self.attempts.iter().filter(|a| a.state == AttemptState::Pending).count()
     }
     /// What may have run, earlier tries of its client included: who drops its repeat, and when it was sent.
-    pub fn ran(&self) -> impl Iterator<Item = (&Peers, Time)> {
+    pub fn possible_runs(&self) -> impl Iterator<Item = (&DedupGroup, Time)> {
         let attempts = self.attempts.iter().filter(|a| a.state != AttemptState::NeverRan);
         let before = self.before.iter().map(|(peers, sent)| (peers, *sent));
         before.chain(attempts.map(|a| (&a.peers, a.sent)))
     }
     pub fn may_have_run(&self) -> bool {
-        self.ran().next().is_some()
+        self.possible_runs().next().is_some()
     }
     /// Until when a repeat that takes so long to arrive is dropped, where workers drop repeats for a time; none if
     /// nothing may have run.
-    pub fn repeat_by(&self, effect: Effect, reach: Span) -> Option<Time> {
+    pub fn repeat_deadline(&self, effect: Effect, reach: Span) -> Option<Time> {
         let Effect::Keyed { window, .. } = effect else { return None };
-        self.ran().map(|(_, sent)| sent + (window - reach)).min()
+        self.possible_runs().map(|(_, sent)| sent + (window - reach)).min()
     }
     /// As it will be once all that is out is called off.
-    pub fn gives_up(&mut self) {
+    pub fn assume_cancelled(&mut self) {
         self.attempts
             .iter_mut()
             .filter(|a| a.state == AttemptState::Pending)
@@ -128,7 +128,7 @@
         let out = self
             .attempts
             .iter()
-            .filter(|a| a.state == AttemptState::Pending && !a.called_off && patience.0 > 0);
+            .filter(|a| a.state == AttemptState::Pending && !a.cancelled && patience.0 > 0);
         out.filter_map(|a| Some(a.heard? + patience)).min()
     }
     pub fn tried(&self, worker: WorkerId) -> bool {
@@ -142,12 +142,12 @@
     jobs: FxHashMap<RequestId, Job>,
     due: BTreeSet<(Time, RequestId)>,
     /// What may have run of requests that are over, by their tags, the oldest first.
-    ran: FxHashMap<u64, (Peers, Time)>,
+    ran: FxHashMap<u64, (DedupGroup, Time)>,
     tags: VecDeque<u64>,
 }
 
 /// Tags remembered: minutes of a dispatcher's keyed requests.
-const REMEMBERED: usize = 4096;
+const MAX_REMEMBERED_RUNS: usize = 4096;
 
 impl Requests {
     pub fn get(&self, id: RequestId) -> Option<&Job> {
@@ -159,19 +159,19 @@
     pub fn open(&mut self, mut job: Job) {
         if let Some(tag) = job.tag {
             let open = || self.jobs.values().filter(|other| other.tag == Some(tag));
-            let out = || open().flat_map(Job::ran).map(|(peers, sent)| (peers.clone(), sent));
+            let out = || open().flat_map(Job::possible_runs).map(|(peers, sent)| (peers.clone(), sent));
             job.before = self.ran.get(&tag).cloned().or_else(|| out().min_by_key(|ran| ran.1));
         }
         self.jobs.insert(job.id, job);
     }
     /// Keeps what may have run of a request that is over.
     fn remember(&mut self, job: &Job) {
-        let first = job.ran().min_by_key(|ran| ran.1).map(|(peers, sent)| (peers.clone(), sent));
+        let first = job.possible_runs().min_by_key(|ran| ran.1).map(|(peers, sent)| (peers.clone(), sent));
         let (Some(tag), Some(first)) = (job.tag, first) else { return };
         if self.ran.insert(tag, first).is_none() {
             self.tags.push_back(tag);
         }
-        if self.tags.len() > REMEMBERED {
+        if self.tags.len() > MAX_REMEMBERED_RUNS {
             self.tags.pop_front().and_then(|tag| self.ran.remove(&tag));
         }
     }
@@ -198,15 +198,15 @@
         Some(id)
     }
     /// Marks the attempts that are out as called off, or only those not started, and names the newly marked.
-    pub fn call_off(&mut self, id: RequestId, started_too: bool) -> Vec<usize> {
+    pub fn mark_cancelled(&mut self, id: RequestId, started_too: bool) -> Vec<usize> {
         let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.streaming) else { return Vec::new() };
         let marked = |a: &&mut Attempt| {
-            a.state == AttemptState::Pending && !a.called_off && (started_too || a.started.is_none())
+            a.state == AttemptState::Pending && !a.cancelled && (started_too || a.started.is_none())
         };
         let mut which = Vec::new();
         for (at, a) in job.attempts.iter_mut().enumerate() {
             if marked(&a) {
-                a.called_off = true;
+                a.cancelled = true;
                 which.push(at);
             }
         }
@@ -227,7 +227,7 @@
         starts.then_some((a.worker, a.sent))
     }
     /// The answer streams: from now on the request has no deadline.
-    pub fn stream(&mut self, id: RequestId) {
+    pub fn on_stream_started(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.attempts.is_empty()) {
             job.streaming = true;
             self.schedule(id, None);
@@ -235,7 +235,7 @@
     }
     /// Drops a job that has ended and has no attempt out.
     pub fn close_if_done(&mut self, id: RequestId) {
-        if self.jobs.get(&id).is_some_and(|j| j.ended && j.outstanding() == 0) {
+        if self.jobs.get(&id).is_some_and(|j| j.ended && j.pending_attempts() == 0) {
             self.schedule(id, None);
             if let Some(job) = self.jobs.remove(&id) {
                 self.remember(&job);
