--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,4 +1,8 @@
-//! Placement: which worker a job is offered to, by the paper's greedy table (Algorithms 1 and 2).
+//! Placement: which worker a job is offered to.
+//!
+//! Implements the two algorithms of "A Greedy Load Balancing Algorithm on Serverless Platforms Maximizing Locality",
+//! called the paper below. Its AssignedTable T holds, for each key, the workers that serve the key; `t_full`, `t_busy`
+//! and `t_m` are its thresholds.
 
 use rand::Rng;
 
@@ -11,186 +15,217 @@
 use crate::retry::HEDGE_MAX_LATE_PROBABILITY;
 use crate::worker::{DecayingSum, KeyHash, State, TableEntry, Worker, WorkerId};
 
-/// Slots of a worker until they are learned: the paper's `t_full`.
+/// Slots assumed for a worker until reports show its real number: the paper's `t_full`.
 pub(crate) const DEFAULT_SLOTS: f64 = 8.0;
-/// `t_full`, as a part of the slots.
+/// `t_full` as a fraction of the worker's slots.
 const T_FULL: f64 = 1.0;
-/// Slots: the load of others is a mean, so a part of one beyond the last may still be free.
-const ROUNDING: f64 = 0.5;
-/// `t_busy`, as a part of the slots: the paper's 5 of 8.
+/// Tolerance, in slots, before a worker counts as Full: the load of other dispatchers is a mean, so a fraction of a
+/// slot beyond the last one may still be free.
+const SLOT_ROUNDING: f64 = 0.5;
+/// `t_busy` as a fraction of the worker's slots: the paper's 5 of 8.
 const T_BUSY: f64 = 0.625;
-/// `t_m`, as a part of the slots: the paper's 3 of 8.
+/// `t_m`, the number of major keys of a worker, as a fraction of its slots: the paper's 3 of 8.
 const T_MAJOR: f64 = 0.375;
-/// Counts per key and kind fade over this: one dispatcher of many seldom has a key running.
+/// Time constant of the decaying counts per key and per machine kind. One dispatcher of many seldom has a given key
+/// running, so a count of the running jobs alone would mostly be zero.
 pub(crate) const KEY_DECAY: Span = Span(10_000_000);
-/// Workers kept per key in its order; the scan walks these, not the fleet.
+/// Length of the stored worker order of a key. Scans walk this list, not the whole fleet.
 const ORDER_LEN: usize = 24;
-/// Available workers that the scan compares.
+/// Number of available workers that a scan compares.
 const SCAN_SAMPLE: usize = 3;
-/// The pressure at which the scan is at its narrowest.
+/// Pressure (see [`Dispatcher::pressure`]) at which scans are narrowest.
 const FULL_PRESSURE: f64 = 0.3;
-/// The narrowest scan covers workers with this many slots beyond those assigned; the same with all Full.
+/// The narrowest scan covers workers with this many slots in total beyond those already assigned to the key. The
+/// same holds when all workers are Full.
 const MIN_SCAN_SLOTS: f64 = 7.0;
-/// What it costs to keep a key in one zone more, in fetches and balance, as a part of a job's worth.
+/// Cost of keeping a key's data in one more zone (fetches and balance), as a fraction of a job's worth.
 const KEY_COPY_COST: f64 = 0.02;
-/// Loads this close count as equal and the order decides, so that tables agree.
+/// Loads are compared in steps of this size. Workers in the same step count as equally loaded and the key's order
+/// decides, so that the tables of different dispatchers agree.
 const LOAD_STEP: f64 = 0.2;
-/// Reports fade over this, or a worker judged full would never be tried again.
+/// Time constant with which the reported load of other dispatchers decays. Without it, a worker considered full
+/// would never be tried again.
 const REPORT_DECAY: Span = Span(10_000_000);
-/// Reserved parts move in so many steps: each change sorts the keys' orders anew.
+/// Reserved fractions change in this many steps, because each change sorts the orders of all keys again.
 const RESERVE_STEPS: f64 = 5.0;
-/// The part of a reserved kind that jobs with a choice keep.
+/// The smallest fraction of a reserved machine kind that jobs without a required kind keep.
 const MIN_UNRESERVED: f64 = 0.02;
-/// Age of news after which a worker that is looked at is probed.
+/// A worker that placement looks at is probed when its last report is older than this.
 const PROBE_AFTER: Span = Span(700_000);
-/// Probes for a job, at most.
+/// Upper bound on the probes sent for one job.
 const MAX_PROBES_PER_JOB: usize = 2;
-/// Beyond so many dispatchers these share such probes: a worker answers few at a time, and each has its price.
+/// With more dispatchers than this the probes are divided among them: a worker answers few at a time, and each
+/// probe has its price.
 pub(crate) const MAX_PROBING_DISPATCHERS: usize = 4;
-/// A new job waits for the answers to probes for this long at most.
+/// Upper bound on the time a job waits for the answers to probes.
 const MAX_PROBE_WAIT: Span = Span(80_000);
-/// A worker that fails more than this part of its jobs gets none that must not run twice.
+/// A worker whose error ratio exceeds this gets no jobs that must not run twice.
 const MAX_ERROR_RATIO: f64 = 0.2;
 
 impl Dispatcher {
-    /// Picks a worker by the paper's two algorithms.
+    /// Picks a worker for `job` by the paper's two algorithms and updates the key's table entry. Pushes probes of
+    /// workers whose reports are old.
     pub(crate) fn choose_worker(&mut self, job: &Job, out: &mut Vec<Action>) -> Option<WorkerId> {
         let kind = self.settings.classes[job.class.0].kind;
-        // A job without a key has a table entry of its own, for this one look.
+        // A job without a key gets a random one, whose table entry is discarded after this call.
         let key = job.key.unwrap_or_else(|| self.rng.random());
-        let roams = job.key.is_some() && self.spans_zones();
-        let (mut t, part) = self.take_entry(key, kind, roams);
-        let home =
-            if self.is_shared_fleet() { self.primary_count(&t, job).min(t.same_zone.len()) } else { 1 };
-        let drawn = if self.is_shared_fleet() { self.rng.random::<u32>() as usize } else { 0 };
+        let all_zones = job.key.is_some() && self.spans_zones();
+        let (mut entry, slots_per_worker) = self.take_entry(key, kind, all_zones);
+        let shared = self.is_shared_fleet();
+        let primaries = if shared { self.primary_count(&entry, job).min(entry.same_zone.len()) } else { 1 };
+        let offset = if shared { self.rng.random::<u32>() as usize } else { 0 };
         let risky = |w: &Worker| w.error_ratio(self.now, ERROR_DECAY) > MAX_ERROR_RATIO;
         let once = self.settings.classes[job.class.0].effect == Effect::Unsafe;
-        let careful = once && !self.fleet.in_service.iter().filter_map(|id| self.fleet.get(*id)).all(risky);
-        let healthy = |w: &Worker| self.now >= w.ejected_until && w.fits(job) && !(careful && risky(w));
-        let fits = |id: &WorkerId| {
+        let avoid_risky =
+            once && !self.fleet.in_service.iter().filter_map(|id| self.fleet.get(*id)).all(risky);
+        let healthy = |w: &Worker| self.now >= w.ejected_until && w.fits(job) && !(avoid_risky && risky(w));
+        let eligible = |id: &WorkerId| {
             !job.tried(*id) && self.fleet.get(*id).is_some_and(healthy) && self.may_send(job, *id)
         };
-        // The key's demand over all dispatchers counts: a sliver alone would never fill a worker.
-        let takes = |id: &WorkerId| self.fleet.get(*id).is_some_and(|w| self.is_available(w, job, part));
-        let mut best = self.least_loaded(t.workers.iter().copied().filter(|id| fits(id) && takes(id)));
+        // Judged by the key's demand over all dispatchers: the small fraction of one dispatcher would never fill a
+        // worker.
+        let available =
+            |id: &WorkerId| self.fleet.get(*id).is_some_and(|w| self.is_available(w, job, slots_per_worker));
+        let assigned = entry.workers.iter().copied();
+        let mut best = self.least_loaded(assigned.filter(|id| eligible(id) && available(id)));
         if best.is_none() {
-            // Busy and the key not major there: it leaves the table.
+            // A worker that is Busy and where the key is not a major one leaves the entry.
             let state = |id: &WorkerId| self.fleet.get(*id).map(|w| self.worker_state(w, job.slots, 0.0));
-            t.workers.retain(|id| takes(id) || state(id) != Some(State::Busy));
-            let takes = |id: &WorkerId| self.fleet.get(*id).is_some_and(|w| self.is_available(w, job, 0.0));
-            let scan = |t: &TableEntry, of: &[WorkerId]| {
-                let new = of.iter().copied().filter(|id| !t.workers.contains(id) && fits(id) && takes(id));
-                self.least_loaded(new.take(SCAN_SAMPLE))
+            entry.workers.retain(|id| available(id) || state(id) != Some(State::Busy));
+            let available =
+                |id: &WorkerId| self.fleet.get(*id).is_some_and(|w| self.is_available(w, job, 0.0));
+            let scan = |entry: &TableEntry, order: &[WorkerId]| {
+                let unassigned = order.iter().copied().filter(|id| !entry.workers.contains(id));
+                let candidates = unassigned.filter(|id| eligible(id) && available(id));
+                self.least_loaded(candidates.take(SCAN_SAMPLE))
             };
-            let near =
-                (t.workers.len() + self.scan_width(&t.same_zone, self.pressure)).min(t.same_zone.len());
-            let mut of = t.same_zone[..near].to_vec();
-            of[..home.min(near)].rotate_left((drawn % home.max(1)).min(near));
-            best = scan(&t, &of);
+            let width = entry.workers.len() + self.scan_width(&entry.same_zone, self.pressure);
+            let width = width.min(entry.same_zone.len());
+            let mut order = entry.same_zone[..width].to_vec();
+            // Dispatchers of a shared fleet start at different ones of the key's primary workers.
+            order[..primaries.min(width)].rotate_left((offset % primaries.max(1)).min(width));
+            best = scan(&entry, &order);
             if best.is_none() {
-                self.update_cross_zone_order(&mut t, key, kind, roams);
-                let far = self.scan_width(&t.cross_zone, FULL_PRESSURE);
-                best = scan(&t, &t.cross_zone[..far]);
+                self.update_cross_zone_order(&mut entry, key, kind, all_zones);
+                let width = self.scan_width(&entry.cross_zone, FULL_PRESSURE);
+                best = scan(&entry, &entry.cross_zone[..width]);
             }
-            t.workers.extend(best);
+            entry.workers.extend(best);
         }
-        // All seem Full: the shortest queue of T[key] and as many next in its order, so that overload does
-        // not scatter keys over workers that must fetch them first. A tenant's overflow waits in no queue.
+        // All of them seem Full: takes the shortest queue among the assigned workers and as many more in the key's
+        // order, so that overload does not scatter keys over workers that have to fetch the data first. Requests
+        // over their tenant's share are not queued.
         if best.is_none() && !job.over_share {
-            let (near, far) =
-                (self.scan_width(&t.same_zone, FULL_PRESSURE), self.scan_width(&t.cross_zone, FULL_PRESSURE));
-            let next = t.same_zone.iter().filter(|id| !t.workers.contains(id)).take(t.workers.len() + near);
-            best = self.least_loaded(t.workers.iter().chain(next).copied().filter(fits));
-            best = best.or_else(|| self.least_loaded(t.cross_zone.iter().copied().filter(fits).take(far)));
+            let same_zone_width = self.scan_width(&entry.same_zone, FULL_PRESSURE);
+            let cross_zone_width = self.scan_width(&entry.cross_zone, FULL_PRESSURE);
+            let unassigned = entry.same_zone.iter().filter(|id| !entry.workers.contains(id));
+            let next = unassigned.take(entry.workers.len() + same_zone_width);
+            best = self.least_loaded(entry.workers.iter().chain(next).copied().filter(eligible));
+            best = best.or_else(|| {
+                let cross_zone = entry.cross_zone.iter().copied().filter(eligible);
+                self.least_loaded(cross_zone.take(cross_zone_width))
+            });
         }
-        // Where it would start too late, a worker beyond the key's own that would not is worth a fetch.
+        // If the job would start too late there, another worker that starts it in time is worth the fetch.
         let late = |id: WorkerId| self.fleet.get(id).map_or(1.0, |w| self.late_probability(w, job));
-        let full = best.is_none_or(|id| late(id) > MAX_LATE_PROBABILITY);
-        if full {
-            self.update_cross_zone_order(&mut t, key, kind, roams);
+        let likely_late = best.is_none_or(|id| late(id) > MAX_LATE_PROBABILITY);
+        if likely_late {
+            self.update_cross_zone_order(&mut entry, key, kind, all_zones);
         }
-        if full && !job.over_share {
-            let all = t.same_zone.iter().chain(&t.cross_zone).copied().filter(fits).map(|id| (late(id), id));
-            let mut other: Vec<_> = all.filter(|o| o.0 <= HEDGE_MAX_LATE_PROBABILITY).collect();
-            other.sort_by(|a, b| a.0.total_cmp(&b.0));
-            // The emptiest that all know of is the fullest a report later.
-            let at = if self.is_shared_fleet() { drawn % other.len().max(1) } else { 0 };
-            best = other.get(at).map(|o| o.1).or(best);
+        if likely_late && !job.over_share {
+            let all = entry.same_zone.iter().chain(&entry.cross_zone).copied().filter(eligible);
+            let all = all.map(|id| (late(id), id));
+            let mut in_time: Vec<_> = all.filter(|other| other.0 <= HEDGE_MAX_LATE_PROBABILITY).collect();
+            in_time.sort_by(|a, b| a.0.total_cmp(&b.0));
+            // Picks one at random in a shared fleet: if all dispatchers took the emptiest worker, it would be the
+            // fullest by the next report.
+            let index = if shared { offset % in_time.len().max(1) } else { 0 };
+            best = in_time.get(index).map(|other| other.1).or(best);
         }
-        // A repeat is bound to its group, which the key's order may not hold.
+        // A repeat is restricted to the group that discards duplicates, which may not occur in the key's order.
         if best.is_none() && job.may_have_run() {
-            best = self.least_loaded(self.fleet.in_service.iter().copied().filter(fits));
+            best = self.least_loaded(self.fleet.in_service.iter().copied().filter(eligible));
         }
         if self.probes_for_load() {
-            // Of other zones there is no news until it is asked for.
-            let far = t.cross_zone.iter().take(if full { SCAN_SAMPLE } else { 0 });
-            let first = best.iter().take(if self.is_shared_fleet() { 1 } else { 0 });
-            let looked_at =
-                first.chain(far).chain(&best).chain(&t.workers).chain(&t.same_zone).take(SCAN_SAMPLE + 1);
-            let stale = self.fleet.start_probes(looked_at, self.now - PROBE_AFTER, MAX_PROBES_PER_JOB);
+            // Load of workers in other zones is only known after a probe.
+            let cross_zone = entry.cross_zone.iter().take(if likely_late { SCAN_SAMPLE } else { 0 });
+            let first = best.iter().take(if shared { 1 } else { 0 });
+            let same_zone = entry.workers.iter().chain(&entry.same_zone);
+            let considered = first.chain(cross_zone).chain(&best).chain(same_zone).take(SCAN_SAMPLE + 1);
+            let stale = self.fleet.start_probes(considered, self.now - PROBE_AFTER, MAX_PROBES_PER_JOB);
             out.extend(stale.into_iter().map(Action::Probe));
         }
         if job.key.is_some() {
-            self.table.insert(key, t);
+            self.table.insert(key, entry);
         }
         best
     }
 
-    /// Takes T[key] out, cut to what its demand fills to Busy, with the slots the key runs on each worker.
-    fn take_entry(&mut self, key: KeyHash, kind: Option<KindId>, all: bool) -> (TableEntry, f64) {
-        let mut t = self.table.remove(&key).unwrap_or_default();
+    /// Removes the key's entry from the table and shortens it to the workers that the key's demand fills up to Busy.
+    /// Returns it with the slots that the key uses on each of them.
+    fn take_entry(&mut self, key: KeyHash, kind: Option<KindId>, all_zones: bool) -> (TableEntry, f64) {
+        let mut entry = self.table.remove(&key).unwrap_or_default();
         let version = (self.fleet.order_version(key, kind), self.reserved_version);
-        if t.same_zone_version != version {
-            t.same_zone = self.rendezvous_order(key, kind, (!all).then_some(true));
-            t.same_zone_version = version;
+        if entry.same_zone_version != version {
+            entry.same_zone = self.rendezvous_order(key, kind, (!all_zones).then_some(true));
+            entry.same_zone_version = version;
         }
-        if t.workers.iter().any(|id| !t.same_zone.contains(id)) {
-            self.update_cross_zone_order(&mut t, key, kind, all);
+        if entry.workers.iter().any(|id| !entry.same_zone.contains(id)) {
+            self.update_cross_zone_order(&mut entry, key, kind, all_zones);
         }
-        let demand = t.demand.add(self.now, KEY_DECAY, 0.0) * self.fleet_rate_factor();
-        let mut room = demand;
-        let by_order = t.same_zone.iter().chain(&t.cross_zone).copied().filter(|id| t.workers.contains(id));
-        let needed = by_order.enumerate().take_while(|(at, id)| {
-            let before = room;
-            room -= self.fleet.get(*id).map_or(0.0, |w| T_BUSY * self.usable_slots(w));
-            *at == 0 || before > 0.0
+        let demand = entry.demand.add(self.now, KEY_DECAY, 0.0) * self.fleet_rate_factor();
+        let mut remaining = demand;
+        let order = entry.same_zone.iter().chain(&entry.cross_zone).copied();
+        let by_order = order.filter(|id| entry.workers.contains(id));
+        let needed = by_order.enumerate().take_while(|(index, id)| {
+            let before = remaining;
+            remaining -= self.fleet.get(*id).map_or(0.0, |w| T_BUSY * self.usable_slots(w));
+            *index == 0 || before > 0.0
         });
-        t.workers = needed.map(|n| n.1).collect();
-        let part = demand / t.workers.len().max(1) as f64;
-        (t, part)
+        entry.workers = needed.map(|(_, id)| id).collect();
+        let slots_per_worker = demand / entry.workers.len().max(1) as f64;
+        (entry, slots_per_worker)
     }
 
-    /// Brings T[key]'s order of other zones up to date.
-    fn update_cross_zone_order(&self, t: &mut TableEntry, key: KeyHash, kind: Option<KindId>, all: bool) {
+    /// Recomputes the key's order of workers in other zones if the fleet or the reserved fractions have changed.
+    fn update_cross_zone_order(
+        &self,
+        entry: &mut TableEntry,
+        key: KeyHash,
+        kind: Option<KindId>,
+        all_zones: bool,
+    ) {
         let version = (self.fleet.order_version(key, kind), self.reserved_version);
-        if t.cross_zone_version != version {
-            t.cross_zone = if all { Vec::new() } else { self.rendezvous_order(key, kind, Some(false)) };
-            t.cross_zone_version = version;
+        if entry.cross_zone_version != version {
+            entry.cross_zone =
+                if all_zones { Vec::new() } else { self.rendezvous_order(key, kind, Some(false)) };
+            entry.cross_zone_version = version;
         }
     }
 
-    /// Weighted rendezvous order of key and worker name: every dispatcher finds the same one without talk.
-    fn rendezvous_order(&self, key: KeyHash, kind: Option<KindId>, near: Option<bool>) -> Vec<WorkerId> {
+    /// Weighted rendezvous order of the key over the workers' names: every dispatcher computes the same one without
+    /// communication. `same_zone` restricts it to workers of the own zone or of other zones.
+    fn rendezvous_order(&self, key: KeyHash, kind: Option<KindId>, same_zone: Option<bool>) -> Vec<WorkerId> {
         let weight = |candidate: &Candidate| {
-            let left = candidate.kind.filter(|_| kind.is_none()).map_or(1.0, |k| 1.0 - self.reserved[k.0]);
-            (candidate.weight * left.max(MIN_UNRESERVED)).max(1e-3)
+            let unreserved =
+                candidate.kind.filter(|_| kind.is_none()).map_or(1.0, |k| 1.0 - self.reserved[k.0]);
+            (candidate.weight * unreserved.max(MIN_UNRESERVED)).max(1e-3)
         };
-        first_for_key(key, self.fleet.candidates(key, kind, near), weight, ORDER_LEN)
+        first_for_key(key, self.fleet.candidates(key, kind, same_zone), weight, ORDER_LEN)
     }
 
-    /// Among how many of a key's first workers a scan begins: twice what is filled if all see the key as often as this.
-    fn primary_count(&self, t: &TableEntry, job: &Job) -> usize {
-        let asked =
-            self.dispatchers_per_key() * self.run_times[job.class.0].secs() * job.slots / KEY_DECAY.secs();
-        let first = t
-            .same_zone
-            .first()
-            .and_then(|id| self.fleet.get(*id))
-            .map_or(DEFAULT_SLOTS, |w| self.usable_slots(w));
-        1 + (2.0 * asked / (T_BUSY * first).max(1.0)) as usize
+    /// Number of the key's first workers among which a scan begins: twice as many as the key would fill if every
+    /// dispatcher saw it once per `KEY_DECAY`.
+    fn primary_count(&self, entry: &TableEntry, job: &Job) -> usize {
+        let run_time = self.run_times[job.class.0].secs();
+        let slots_needed = self.dispatchers_per_key() * run_time * job.slots / KEY_DECAY.secs();
+        let first = entry.same_zone.first().and_then(|id| self.fleet.get(*id));
+        let first_slots = first.map_or(DEFAULT_SLOTS, |w| self.usable_slots(w));
+        1 + (2.0 * slots_needed / (T_BUSY * first_slots).max(1.0)) as usize
     }
 
-    /// How far beyond T[key] the scan goes: each step is likely a fetch, and scattered keys swamp the shared store.
+    /// Number of workers beyond the assigned ones that a scan covers. It shrinks with the pressure: each further
+    /// worker is likely to fetch the key's data, and scattered keys overload the shared store.
     fn scan_width(&self, order: &[WorkerId], pressure: f64) -> usize {
         let slots = order.first().and_then(|id| self.fleet.get(*id)).map_or(1.0, |w| self.usable_slots(w));
         let least = (MIN_SCAN_SLOTS / slots.max(1.0)).round().max(1.0) as usize;
@@ -203,21 +238,22 @@
         loads.min_by(|a, b| a.1.total_cmp(&b.1)).map(|best| best.0)
     }
 
-    /// The paper's `available`; a Busy worker takes only its major keys.
-    fn is_available(&self, w: &Worker, job: &Job, part: f64) -> bool {
-        let most = (T_MAJOR * self.usable_slots(w)).max(1.0) as usize;
-        match self.worker_state(w, job.slots, part) {
+    /// The paper's `available`: a Free worker takes any key, a Busy one only its major keys, a Full one none.
+    fn is_available(&self, w: &Worker, job: &Job, slots_per_worker: f64) -> bool {
+        let major_keys = (T_MAJOR * self.usable_slots(w)).max(1.0) as usize;
+        match self.worker_state(w, job.slots, slots_per_worker) {
             State::Full => false,
-            State::Busy => job.key.and_then(|key| w.key_rank(key)).is_some_and(|rank| rank < most),
+            State::Busy => job.key.and_then(|key| w.key_rank(key)).is_some_and(|rank| rank < major_keys),
             State::Free => true,
         }
     }
 
-    /// The state of a worker towards a key of which each of its workers runs `part` slots.
-    fn worker_state(&self, w: &Worker, slots: f64, part: f64) -> State {
-        let (capacity, occupied) = (self.usable_slots(w), self.occupied_slots(w).max(part));
+    /// The state of a worker for a job of `slots` slots whose key uses `slots_per_worker` slots on each of its
+    /// workers.
+    fn worker_state(&self, w: &Worker, slots: f64, slots_per_worker: f64) -> State {
+        let (capacity, occupied) = (self.usable_slots(w), self.occupied_slots(w).max(slots_per_worker));
         let queued = self.settings.reports_start && w.has_unstarted_job(self.now, QUEUED_AFTER);
-        let full = occupied + slots > (T_FULL * capacity).max(slots) + ROUNDING;
+        let full = occupied + slots > (T_FULL * capacity).max(slots) + SLOT_ROUNDING;
         match occupied >= T_BUSY * capacity {
             _ if queued || full || self.now < w.full_until => State::Full,
             true => State::Busy,
@@ -225,69 +261,77 @@
         }
     }
 
-    /// Slots in use: own ones, and the mean of what reports say of others; the newest is older than a job is long.
+    /// Slots in use: those of this dispatcher's jobs, and the mean of what reports show for other dispatchers. A mean
+    /// is used because the newest report is older than a job is long.
     pub(crate) fn occupied_slots(&self, w: &Worker) -> f64 {
         let age = w.other_slots_at.map_or(0.0, |at| (self.now - at).secs());
-        w.own_slots
-            + w.other_slots.map_or(self.mean_fill * self.usable_slots(w), |o| {
-                o.max(0.0) * (-age / REPORT_DECAY.secs()).exp()
-            })
+        let decay = |other_slots: f64| other_slots.max(0.0) * (-age / REPORT_DECAY.secs()).exp();
+        w.own_slots + w.other_slots.map_or(self.mean_fill * self.usable_slots(w), decay)
     }
 
+    /// Slots of a worker, reduced while it is in slow start.
     pub(crate) fn usable_slots(&self, w: &Worker) -> f64 {
         w.learned_slots.unwrap_or(DEFAULT_SLOTS) * w.capacity_fraction(&self.settings.rules, self.now)
     }
 
-    /// Whether so many share the fleet that each sees but a sliver of a worker's jobs, and hears of it seldom.
+    /// Whether the fleet has so many dispatchers that each one sends a worker only a small fraction of its jobs and
+    /// rarely receives news of it.
     pub(crate) fn is_shared_fleet(&self) -> bool {
         self.settings.dispatchers > MAX_PROBING_DISPATCHERS
     }
 
-    /// Whether workers are asked for their load; answers bring a sliver of a large fleet too little of it.
+    /// Whether workers are probed for their load: where probes are the only source of reports, and in a shared
+    /// fleet, where the answers to a dispatcher's own jobs carry too few of them.
     pub(crate) fn probes_for_load(&self) -> bool {
-        let of = self.settings.reporting;
+        let reporting = self.settings.reporting;
         self.settings.limits.probes
-            && (of == Reporting::Probe || of == Reporting::Answers && self.is_shared_fleet())
+            && (reporting == Reporting::Probe || reporting == Reporting::Answers && self.is_shared_fleet())
     }
 
-    /// Whether a job waits for a probe of the worker chosen, until `since` is `MAX_PROBE_WAIT` ago: all would take the same one.
+    /// Whether a job that has waited since `since` still waits, for `MAX_PROBE_WAIT` at most, for a pending probe of
+    /// the chosen worker whose last report is stale. Otherwise all dispatchers would send to the same worker.
     pub(crate) fn awaits_probe(&self, to: WorkerId, since: Time) -> bool {
-        let old = |w: &Worker| w.probe_pending && w.reported_at.is_none_or(|at| self.now - at > STALE_AFTER);
+        let stale =
+            |w: &Worker| w.probe_pending && w.reported_at.is_none_or(|at| self.now - at > STALE_AFTER);
         self.probes_for_load()
             && self.is_shared_fleet()
             && self.now - since < MAX_PROBE_WAIT
-            && self.fleet.get(to).is_some_and(old)
+            && self.fleet.get(to).is_some_and(stale)
     }
 
-    /// Dispatchers that send a key to the same workers: all, or those of a zone at the mean.
+    /// Number of dispatchers that send a key to the same workers: all of them, or the mean number per zone.
     fn dispatchers_per_key(&self) -> f64 {
         let zones = if self.spans_zones() { 1 } else { self.settings.zones.len().max(1) };
         (self.settings.dispatchers as f64 / zones as f64).max(1.0)
     }
 
-    /// Whether a key has its workers in all zones: crossings cost less than a set of workers in each.
+    /// Whether a key has one set of workers over all zones, because crossing zones costs less than keeping a set of
+    /// workers in each zone.
     fn spans_zones(&self) -> bool {
         self.settings.cross_zone_price <= KEY_COPY_COST * (self.settings.zones.len() as f64 - 1.0)
     }
 
-    /// Turns what this dispatcher counted over KEY_DECAY into the rate of all that share it.
+    /// Factor that turns a sum that this dispatcher has counted with `KEY_DECAY` into a rate per second over all
+    /// dispatchers that share the key. Corrects for the short history of a dispatcher that has just started.
     fn fleet_rate_factor(&self) -> f64 {
-        let known = self.started_at.map_or(0.0, |at| (self.now - at).secs()) / KEY_DECAY.secs();
-        self.dispatchers_per_key() / KEY_DECAY.secs() / (1.0 - (-known.max(0.1)).exp())
+        let history = self.started_at.map_or(0.0, |at| (self.now - at).secs()) / KEY_DECAY.secs();
+        self.dispatchers_per_key() / KEY_DECAY.secs() / (1.0 - (-history.max(0.1)).exp())
     }
 
-    /// Jobs that may run anywhere leave to jobs that need one kind the part of it that those fill.
+    /// Updates the fraction of each machine kind that jobs without a required kind leave to the jobs that need it:
+    /// the fraction that those jobs fill.
     pub(crate) fn update_reserved(&mut self) {
         let mut capacity = vec![0.0; self.reserved.len()];
-        for w in self.fleet.in_service.iter().filter_map(|id| self.fleet.get(*id)).filter(|w| w.same_zone) {
-            w.kind.into_iter().for_each(|k| capacity[k.0] += T_BUSY * self.usable_slots(w));
+        let in_service = self.fleet.in_service.iter().filter_map(|id| self.fleet.get(*id));
+        for w in in_service.filter(|w| w.same_zone) {
+            w.kind.into_iter().for_each(|kind| capacity[kind.0] += T_BUSY * self.usable_slots(w));
         }
-        let (now, scale) = (self.now, self.fleet_rate_factor());
-        let mut part = |(asked, capacity): (&mut DecayingSum, f64)| {
-            let used = asked.add(now, KEY_DECAY, 0.0) * scale / f64::max(capacity, 1e-3);
+        let (now, rate_factor) = (self.now, self.fleet_rate_factor());
+        let mut fraction = |(demand, capacity): (&mut DecayingSum, f64)| {
+            let used = demand.add(now, KEY_DECAY, 0.0) * rate_factor / f64::max(capacity, 1e-3);
             (used.min(1.0) * RESERVE_STEPS).round() / RESERVE_STEPS
         };
-        let reserved: Vec<f64> = self.kind_demand.iter_mut().zip(capacity).map(&mut part).collect();
+        let reserved: Vec<f64> = self.kind_demand.iter_mut().zip(capacity).map(&mut fraction).collect();
         if reserved != self.reserved {
             self.reserved = reserved;
             self.reserved_version += 1;
