--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what becomes of a request at each look, and the gate of final answers.
+//! Admission: whether a request is sent, held back or answered finally, each time that it is due.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -9,42 +9,46 @@
 use crate::retry::MAX_TRANSIT;
 use crate::worker::{wait_probability, Worker, WorkerId};
 
-/// Weight of one job in the pressure.
+/// Weight of one job in the moving average of the pressure.
 pub(crate) const PRESSURE_GAIN: f64 = 0.02;
-/// A job more likely late than this is refused.
+/// A job whose probability of a late start is above this is refused.
 pub(crate) const MAX_LATE_PROBABILITY: f64 = 0.7;
-/// The power by which jobs that hold many slots for their worth are refused sooner.
+/// Exponent of the relative worth in the refusal threshold: jobs that hold many slots for their worth are refused
+/// sooner.
 const WORTH_EXPONENT: i32 = 2;
-/// The most use of its slots that the chance of a late start reckons with.
+/// Upper bound on a worker's utilization in the estimate of a late start.
 const MAX_UTILIZATION: f64 = 0.98;
-/// The part of its own extra time that a job of unknown length may wait.
+/// A job of unknown length may wait for this fraction of the extra time that its stretch grants.
 const UNKNOWN_STRETCH_FRACTION: f64 = 0.5;
-/// A job that no worker may take now is looked at again after this.
+/// A job that no worker may take now is checked again after this time.
 const RECHECK_INTERVAL: Span = Span(20_000);
-/// Seconds of its share that a tenant may save up.
+/// Seconds of its allowance that a tenant can accumulate.
 const TENANT_BURST_S: f64 = 3.0;
-/// Clients spread unevenly: one dispatcher may carry this much of its part of a tenant's share.
+/// Clients spread unevenly over dispatchers: one dispatcher may admit this multiple of its even part of a tenant's
+/// allowance.
 const TENANT_SLACK: f64 = 1.15;
 
 impl Dispatcher {
-    pub(crate) fn on_request(&mut self, r: Request, out: &mut Vec<Action>) {
-        let over_share = r.tenant.is_some_and(|t| {
-            let rate =
-                TENANT_SLACK * self.settings.tenants[t.0].allowance_per_s / self.settings.dispatchers as f64;
-            self.tenant_buckets[t.0].level(self.now, rate, (rate * TENANT_BURST_S).max(1.0)) < 1.0
+    pub(crate) fn on_request(&mut self, request: Request, out: &mut Vec<Action>) {
+        let over_share = request.tenant.is_some_and(|tenant| {
+            let allowance = self.settings.tenants[tenant.0].allowance_per_s;
+            let rate = TENANT_SLACK * allowance / self.settings.dispatchers as f64;
+            let bucket = &mut self.tenant_buckets[tenant.0];
+            bucket.level(self.now, rate, (rate * TENANT_BURST_S).max(1.0)) < 1.0
         });
-        let kind = self.settings.classes[r.class.0].kind;
-        let key = r.key.as_ref();
+        let kind = self.settings.classes[request.class.0].kind;
+        let key = request.key.as_ref();
         let key = key.map(|k| xxh3_64_with_seed(k.as_bytes(), kind.map_or(0, |k| k.0 as u64 + 1)));
         if let Some(kind) = kind {
-            self.kind_demand[kind.0].add(self.now, KEY_DECAY, self.run_times[r.class.0].secs() * r.slots);
+            let slot_seconds = self.run_times[request.class.0].secs() * request.slots;
+            self.kind_demand[kind.0].add(self.now, KEY_DECAY, slot_seconds);
         }
-        let id = r.id;
-        self.requests.open(Job::new(r, key, over_share, self.now));
+        let id = request.id;
+        self.requests.open(Job::new(request, key, over_share, self.now));
         self.advance(id, out);
     }
 
-    /// Takes a job one step further: send it, keep it for a moment, or give its final answer.
+    /// Takes the next step for a job: sends it, holds it back for a moment, or gives its final answer.
     pub(crate) fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.requests.get(id).filter(|j| !j.ended && !j.streaming) else { return };
         let last = job.deadline - self.settings.quantum;
@@ -56,15 +60,14 @@
         }
         let class = &self.settings.classes[job.class.0];
         let late = class.late_worth == 0.0 && self.now >= self.latest_start(job);
-        let over = job
-            .repeat_deadline(class.effect, MAX_TRANSIT)
-            .is_some_and(|at| at <= self.now + self.settings.quantum);
-        // Waiting for a worker that may repeat it helps only while there is one.
-        let takes = |id: &WorkerId| !job.tried(*id) && self.may_repeat(job, *id);
-        let bound = class.effect != Effect::Safe && job.may_have_run();
-        let stuck = over || bound && !self.fleet.in_service.iter().any(takes);
+        let repeat_deadline = job.repeat_deadline(class.effect, MAX_TRANSIT);
+        let repeat_over = repeat_deadline.is_some_and(|at| at <= self.now + self.settings.quantum);
+        // A job that may only be repeated on certain workers waits for one only while one is in service.
+        let may_take = |id: &WorkerId| !job.tried(*id) && self.may_repeat(job, *id);
+        let restricted = class.effect != Effect::Safe && job.may_have_run();
+        let no_repeat = repeat_over || restricted && !self.fleet.in_service.iter().any(may_take);
         let exhausted = job.attempts.len() >= self.settings.limits.max_attempts;
-        let reason = match (late, stuck, exhausted) {
+        let reason = match (late, no_repeat, exhausted) {
             (true, ..) => Some(EndReason::TooLateToStart),
             (_, true, _) => Some(EndReason::NoRepeatAllowed),
             (.., true) => Some(EndReason::AttemptsExhausted),
@@ -75,12 +78,12 @@
         }
         let (job, late_worth) = (job.clone(), class.late_worth);
         let to = self.list_age.is_valid(self.now).then(|| self.choose_worker(&job, out)).flatten();
-        let chance = to.and_then(|to| self.fleet.get(to)).map(|w| self.late_probability(w, &job));
+        let probability = to.and_then(|to| self.fleet.get(to)).map(|w| self.late_probability(w, &job));
         match to {
-            // What would start too late is refused: served late it is worth nothing and keeps others late.
+            // A job that would start too late is refused: served late it is worth nothing and delays others.
             Some(_)
                 if late_worth == 0.0
-                    && chance.is_some_and(|c| c > MAX_LATE_PROBABILITY * self.relative_worth(&job)) =>
+                    && probability.is_some_and(|p| p > MAX_LATE_PROBABILITY * self.relative_worth(&job)) =>
             {
                 self.pressure += (1.0 - self.pressure) * PRESSURE_GAIN;
                 self.answer(id, EndReason::LikelyLate, out)
@@ -97,26 +100,28 @@
         }
     }
 
-    /// The gate of final answers: a refusal only where it is true that a new try does no harm.
+    /// Gives the final answer and closes the request: a refusal only if a new try by the client does no harm, a
+    /// failure otherwise. No other function pushes these answers.
     fn answer(&mut self, id: RequestId, reason: EndReason, out: &mut Vec<Action>) {
         let Some(job) = self.requests.get(id).filter(|j| !j.ended && !j.streaming) else { return };
         let effect = self.settings.classes[job.class.0].effect;
-        // A client's new try has the same key: harmless where all workers drop repeats, and while they do.
-        let by =
-            job.repeat_deadline(effect, self.settings.limits.max_retry_after).is_some_and(|by| self.now < by);
-        let dropped = by && matches!(effect, Effect::Keyed { group: Group::All, .. });
-        // Only what is taken counts against a share: clients repeat what was refused.
-        if let (Some(t), true) = (job.tenant, !job.attempts.is_empty() && !job.may_have_run()) {
-            self.tenant_buckets[t.0].put(1.0);
+        // A client's new try carries the same key. It does no harm if all workers discard repeats, and arrives while
+        // they do.
+        let deadline = job.repeat_deadline(effect, self.settings.limits.max_retry_after);
+        let in_window = deadline.is_some_and(|deadline| self.now < deadline);
+        let discarded = in_window && matches!(effect, Effect::Keyed { group: Group::All, .. });
+        // Refused requests do not count against the tenant's share, since clients repeat them.
+        if let (Some(tenant), true) = (job.tenant, !job.attempts.is_empty() && !job.may_have_run()) {
+            self.tenant_buckets[tenant.0].add(1.0);
         }
-        out.push(match dropped || effect == Effect::Safe || !job.may_have_run() {
+        out.push(match discarded || effect == Effect::Safe || !job.may_have_run() {
             true => Action::Refuse { request: id, retry_after: None, reason },
             false => Action::Fail { request: id, reason },
         });
         self.close(id, out);
     }
 
-    /// Closes a request and calls off what is still out for it.
+    /// Closes a request and cancels its pending attempts.
     pub(crate) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.requests.get_mut(id) else { return };
         job.ended = true;
@@ -125,38 +130,38 @@
         self.requests.close_if_done(id);
     }
 
-    /// When a job must have started to be in time, as far as can be told before it ran.
+    /// The latest start with which a job still meets its aim, as far as this is known before it has run.
     pub(crate) fn latest_start(&self, job: &Job) -> Time {
         let class = &self.settings.classes[job.class.0];
         let work = job.work.unwrap_or(self.run_times[job.class.0]).0 as f64;
-        job.arrived
-            + class.aim
-            + Span((work * (class.stretch - 1.0).max(0.0) * UNKNOWN_STRETCH_FRACTION) as i64)
+        let stretch = (class.stretch - 1.0).max(0.0);
+        job.arrived + class.aim + Span((work * stretch * UNKNOWN_STRETCH_FRACTION) as i64)
     }
 
-    /// The chance that a job would start there too late; what is held beyond the slots comes first.
+    /// The probability that a job would start too late on a worker. Jobs that the worker holds beyond its slots run
+    /// first.
     pub(crate) fn late_probability(&self, w: &Worker, job: &Job) -> f64 {
         let (slots, held) = (self.usable_slots(w).max(1.0), self.occupied_slots(w));
-        let more = (job.slots - 1.0).max(0.0); // the head of a queue waits until all its slots are free
+        // The head of a queue waits until all the slots that it needs are free.
+        let extra = (job.slots - 1.0).max(0.0);
         let slack = (self.latest_start(job) - self.now).secs() / self.mean_run_secs().max(1e-3);
-        wait_probability(
-            slots,
-            (held / slots).min(MAX_UTILIZATION),
-            slack - ((held + more) / slots - 1.0).max(0.0),
-        )
+        let queued_runs = ((held + extra) / slots - 1.0).max(0.0);
+        wait_probability(slots, (held / slots).min(MAX_UTILIZATION), slack - queued_runs)
     }
 
-    /// A job's worth a slot-second as a part of any class's most, squared, where worth is counted by requests.
+    /// A job's worth per slot-second relative to the most valuable class, raised to `WORTH_EXPONENT`. 1 where worth
+    /// is not counted by requests.
     fn relative_worth(&self, job: &Job) -> f64 {
         let worth =
             |class: usize| (self.settings.classes[class].worth / self.run_costs[class].0.max(1e-3)).max(1e-9);
-        let seen = (0..self.run_costs.len()).filter(|class| self.run_costs[*class].1 > 0);
-        let most = seen.map(worth).fold(worth(job.class.0), f64::max);
-        let power = if self.settings.worth_by == WorthBy::Request { WORTH_EXPONENT } else { 0 };
-        (worth(job.class.0) / most / job.slots.max(1.0)).powi(power)
+        let measured = (0..self.run_costs.len()).filter(|class| self.run_costs[*class].1 > 0);
+        let most = measured.map(worth).fold(worth(job.class.0), f64::max);
+        let exponent = if self.settings.worth_by == WorthBy::Request { WORTH_EXPONENT } else { 0 };
+        (worth(job.class.0) / most / job.slots.max(1.0)).powi(exponent)
     }
 
+    /// Mean run time over all classes, in seconds.
     pub(crate) fn mean_run_secs(&self) -> f64 {
-        self.run_times.iter().map(|r| r.secs()).sum::<f64>() / self.run_times.len() as f64
+        self.run_times.iter().map(|time| time.secs()).sum::<f64>() / self.run_times.len() as f64
     }
 }
