--- a/crates/decisions/src/dispatcher.rs
+++ b/crates/decisions/src/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's state and its events, by the interface of `api.rs`. Each decision has a module of its own.
+//! The state of a dispatcher and the handling of its events. Each kind of decision has a module of its own:
+//! `admission`, `placement`, `retry`, `slow_start` and `health`.
 
 use std::collections::BTreeMap;
 
@@ -11,51 +12,55 @@
 use crate::requests::Requests;
 use crate::worker::{DecayingSum, KeyHash, TableEntry, TokenBucket};
 
-/// Entries of the assignment table that were not used for this long are dropped: one-off keys pile up.
+/// Entries of the assignment table that were not used for this long are dropped; keys that occur once would
+/// accumulate otherwise.
 const TABLE_ENTRY_TTL: Span = Span(30_000_000);
-/// Probes in a round to workers that never reported, at most.
+/// Upper bound on the probes per round of housekeeping to workers that have never reported.
 const MAX_FIRST_PROBES: usize = 8;
-/// First guess of a job's time in its slots.
+/// Run time assumed for a class until its first jobs have been measured.
 const INITIAL_RUN_TIME: Span = Span(400_000);
-/// Between two rounds of housekeeping.
+/// Interval between two rounds of housekeeping.
 const HOUSEKEEPING_INTERVAL: Span = Span(250_000);
 
-/// Decides for one dispatcher; knows only what its own events said.
+/// The decisions of one dispatcher, based on nothing but its settings and the events that it was given.
 pub struct Dispatcher {
     pub(crate) settings: Settings,
     pub(crate) rng: SmallRng,
     pub(crate) now: Time,
-    /// When the first event came.
+    /// Time of the first event.
     pub(crate) started_at: Option<Time>,
     pub(crate) fleet: Fleet,
     pub(crate) requests: Requests,
-    /// The paper's AssignedTable T.
+    /// The paper's AssignedTable T (see `placement`): for each key the workers that serve it.
     pub(crate) table: BTreeMap<KeyHash, TableEntry>,
-    /// Mean fill of workers over all reports, for those that never reported: those of other zones.
+    /// Mean fill of workers over all reports. Stands in for the load of workers that have never reported, such as
+    /// those of other zones.
     pub(crate) mean_fill: f64,
-    /// The part of recent jobs that were turned away or refused as late.
+    /// The fraction of recent jobs that workers turned away or that were refused as likely late.
     pub(crate) pressure: f64,
-    /// Mean time in slots of each class's jobs.
+    /// Mean time that a job of each class occupies its slots.
     pub(crate) run_times: Vec<Span>,
-    /// The same, learned at once, and of how many: a guess that lasts overfills cold workers.
+    /// The same mean in seconds, with the number of jobs behind it. It follows the first jobs at once, because an
+    /// initial guess that persists would overfill workers in slow start.
     pub(crate) run_costs: Vec<(f64, u32)>,
-    /// Slot-seconds asked for by jobs that need a kind, by kind.
+    /// Slot-seconds requested by jobs that need one machine kind, by kind.
     pub(crate) kind_demand: Vec<DecayingSum>,
-    /// The part of each kind that other jobs leave to them.
+    /// The fraction of each kind that jobs without a required kind leave to those jobs.
     pub(crate) reserved: Vec<f64>,
-    /// Counts the changes of `reserved`.
+    /// Incremented with each change of `reserved`.
     pub(crate) reserved_version: u64,
-    /// What each tenant may still send within its share.
+    /// The requests that each tenant may still send within its allowance.
     pub(crate) tenant_buckets: Vec<TokenBucket>,
+    /// How long the current list of workers may be used.
     pub(crate) list_age: ListAge,
-    /// When the timer that was asked for ends.
+    /// Due time of the last timer that was set, until it fires.
     pub(crate) timer_at: Option<Time>,
-    /// When the next round of housekeeping is due.
     pub(crate) next_housekeeping: Time,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing but its settings.
+    /// Creates a dispatcher without workers and requests; `seed` determines its random choices. Fails if a setting is
+    /// unusable.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Dispatcher {
@@ -80,7 +85,8 @@
         })
     }
 
-    /// Takes one event and pushes what is to be done.
+    /// Handles one event at time `now` and appends the resulting actions to `out`. A time before that of an earlier
+    /// event counts as the earlier one's.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if self.started_at.is_none() {
             (self.started_at, self.now, self.next_housekeeping) = (Some(now), now, now);
@@ -101,7 +107,8 @@
             Event::Probed { worker, outcome, load, .. } => {
                 let id = self.fleet.on_probed(&worker);
                 self.on_report(id, load);
-                // Nobody there: better learned so than by a job. Too many probes at a time say nothing.
+                // A failed connection shows that the worker is down, and a probe learns it at no job's cost. Other
+                // failed probes show nothing, since a worker rejects probes when too many arrive at a time.
                 if let (Some(id), Outcome::NoConnection) = (id, outcome) {
                     self.update_health(id, outcome);
                 }
@@ -110,14 +117,15 @@
         }
         if self.now >= self.next_housekeeping {
             self.next_housekeeping = self.now + HOUSEKEEPING_INTERVAL;
-            self.table.retain(|_, t| t.demand.at >= now - TABLE_ENTRY_TTL);
+            self.table.retain(|_, entry| entry.demand.at >= now - TABLE_ENTRY_TTL);
             self.update_reserved();
-            // A worker's slots show in the report of an idle one; under load they are taken for fewer.
+            // Probes unknown workers early: the report of an idle worker shows all its slots, while under load fewer
+            // slots are inferred.
             if self.probes_for_load() {
-                let ready = self.fleet.in_service.clone();
-                let most = MAX_FIRST_PROBES * MAX_PROBING_DISPATCHERS
+                let in_service = self.fleet.in_service.clone();
+                let limit = MAX_FIRST_PROBES * MAX_PROBING_DISPATCHERS
                     / self.settings.dispatchers.max(MAX_PROBING_DISPATCHERS);
-                let unknown = self.fleet.start_probes(ready.iter(), Time(i64::MIN), most);
+                let unknown = self.fleet.start_probes(in_service.iter(), Time(i64::MIN), limit);
                 out.extend(unknown.into_iter().map(Action::Probe));
             }
         }
