--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -1,4 +1,4 @@
-//! Health and load of workers, by what attempts, probes and reports say.
+//! Health and load of workers, derived from the outcomes of attempts, from probes and from load reports.
 
 use crate::admission::PRESSURE_GAIN;
 use crate::api::*;
@@ -7,29 +7,32 @@
 use crate::requests::AttemptState;
 use crate::worker::WorkerId;
 
-/// A key counted less often than this at a worker, in jobs, is forgotten there.
+/// A key whose decayed count of jobs on a worker falls below this is no longer tracked there.
 pub(crate) const MIN_KEY_COUNT: f64 = 0.05;
-/// Weight of a new report in a worker's mean.
+/// Weight of a new report in the moving average of a worker's load.
 const REPORT_GAIN: f64 = 0.3;
-/// Weight of any report in the mean fill of all workers.
+/// Weight of each report in the moving average of the fill over all workers.
 const FILL_GAIN: f64 = 0.02;
-/// About the age of a report, from which own slots are taken off.
+/// Time constant for smoothing this dispatcher's own slots before they are subtracted from a report. It matches the
+/// typical age of a report.
 pub(crate) const OWN_SLOTS_DECAY: Span = Span(1_000_000);
-/// The queue that is likely behind a report of no free slots, as a part of the slots.
+/// The queue assumed behind a report of no free slots that states no queue, as a fraction of the slots.
 const HIDDEN_QUEUE_RATIO: f64 = 0.3;
-/// Age of news that says nothing: where many share a fleet, each hears of a worker seldom.
+/// A report older than this carries no information. In a shared fleet each dispatcher receives reports of a worker
+/// rarely.
 pub(crate) const STALE_AFTER: Span = Span(2_000_000);
-/// A job that has not started after this waits in a queue: no slot is free there.
+/// A job that has not started after this time waits in a queue: no slot of its worker is free.
 pub(crate) const QUEUED_AFTER: Span = Span(60_000);
-/// Weight of a new run time in the mean.
+/// Weight of a new run time in the moving average of its class.
 const RUN_GAIN: f64 = 0.05;
-/// A worker that turned a job away counts as Full for about a job's length.
+/// A worker that turned a job away counts as Full for about the length of a job.
 const FULL_AFTER_REJECTION: Span = Span(200_000);
-/// First pause for a worker whose attempt failed, doubled each time in a row.
+/// How long a worker is ejected after a failed attempt (outlier ejection). Doubled with each consecutive failure.
 const BASE_EJECTION: Span = Span(500_000);
-/// How often the pause is doubled at most.
+/// Upper bound on the number of doublings.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Errors fade over this: one job served is no proof of health.
+/// Time constant with which errors decay. They are not reset by a success, since one served job does not prove
+/// health.
 pub(crate) const ERROR_DECAY: Span = Span(10_000_000);
 
 impl Dispatcher {
@@ -41,16 +44,18 @@
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
+        // A job that has just started: its other attempts that have not started are cancelled.
         let Some((worker, sent)) = self.requests.on_update(id, attempt, update, now) else { return };
         self.cancel_attempts(id, false, out);
         self.advance(id, out);
-        let runs = ((now - sent).secs() - QUEUED_AFTER.secs()) / self.mean_run_secs();
+        let waited_runs = ((now - sent).secs() - QUEUED_AFTER.secs()) / self.mean_run_secs();
         let Some(w) = self.fleet.get_mut(worker) else { return };
         w.on_started(sent);
-        if runs > 0.0 {
-            // The wait of an own job is the freshest news of a queue, but one alone shows none: a machine may be slow.
+        if waited_runs > 0.0 {
+            // The wait of an own job is the newest information on a worker's queue. It is averaged, because a single
+            // long wait does not prove a queue: the machine may be slow.
             w.other_slots.get_or_insert(self.mean_fill * w.learned_slots.unwrap_or(DEFAULT_SLOTS));
-            let held = w.learned_slots.unwrap_or(DEFAULT_SLOTS) * (1.0 + runs)
+            let held = w.learned_slots.unwrap_or(DEFAULT_SLOTS) * (1.0 + waited_runs)
                 - w.smoothed_own_slots(now, OWN_SLOTS_DECAY);
             w.blend_other_slots(held, REPORT_GAIN, now);
         }
@@ -60,11 +65,14 @@
         let (now, id) = (self.now, end.request);
         let Some(job) = self.requests.get_mut(id) else { return };
         let (class, slots, key) = (job.class, job.slots, job.key);
-        let Some(a) = job.attempts.get_mut(end.attempt).filter(|a| a.state == AttemptState::Pending) else {
+        let attempt = job.attempts.get_mut(end.attempt).filter(|a| a.state == AttemptState::Pending);
+        let Some(attempt) = attempt else {
             return;
         };
-        a.state = if end.outcome.proves_no_run() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
-        let (worker, took, sent) = (a.worker, a.started.map_or(end.latency, |at| now - at), a.sent);
+        attempt.state =
+            if end.outcome.proves_no_run() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        let (worker, run_time, sent) =
+            (attempt.worker, attempt.started.map_or(end.latency, |at| now - at), attempt.sent);
         self.on_report(Some(worker), end.load);
         if let Some(w) = self.fleet.get_mut(worker) {
             w.on_ended(now, sent, slots, OWN_SLOTS_DECAY);
@@ -74,12 +82,12 @@
         }
         if end.outcome == Outcome::Served {
             let mean = &mut self.run_times[class.0];
-            mean.0 += ((took.0 - mean.0) as f64 * RUN_GAIN) as i64;
-            let (cost, seen) = &mut self.run_costs[class.0];
-            *seen = seen.saturating_add(1);
-            *cost += (took.secs() - *cost) * RUN_GAIN.max(1.0 / (f64::from(*seen) + 1.0));
-            if let Some(t) = key.and_then(|key| self.table.get_mut(&key)) {
-                t.demand.add(now, KEY_DECAY, took.secs() * slots);
+            mean.0 += ((run_time.0 - mean.0) as f64 * RUN_GAIN) as i64;
+            let (cost, count) = &mut self.run_costs[class.0];
+            *count = count.saturating_add(1);
+            *cost += (run_time.secs() - *cost) * RUN_GAIN.max(1.0 / (f64::from(*count) + 1.0));
+            if let Some(entry) = key.and_then(|key| self.table.get_mut(&key)) {
+                entry.demand.add(now, KEY_DECAY, run_time.secs() * slots);
             }
         }
         self.update_health(worker, end.outcome);
@@ -91,39 +99,41 @@
         self.advance(id, out);
     }
 
-    /// Health by outcomes: fast errors and dead connections must not look idle.
+    /// Updates a worker's health by the outcome of an attempt or probe. A worker that fails is ejected for a while,
+    /// as otherwise fast errors and dead connections would make it look idle.
     pub(crate) fn update_health(&mut self, worker: WorkerId, outcome: Outcome) {
         let (now, Some(w)) = (self.now, self.fleet.get_mut(worker)) else { return };
-        let ends = |of| f64::from(u8::from(outcome == of));
-        w.count_outcomes(now, ERROR_DECAY, ends(Outcome::Error), ends(Outcome::Served));
+        let matches_outcome = |of| f64::from(u8::from(outcome == of));
+        w.count_outcomes(now, ERROR_DECAY, matches_outcome(Outcome::Error), matches_outcome(Outcome::Served));
         match outcome {
             Outcome::Served => w.consecutive_failures = 0,
             Outcome::TurnedAway => w.full_until = now + FULL_AFTER_REJECTION,
             Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection | Outcome::Unusable => return,
             _ => {
-                let again = f64::from(w.consecutive_failures)
+                let failures = f64::from(w.consecutive_failures)
                     .max(w.error_count(now, ERROR_DECAY) - 1.0)
                     .round() as u32;
-                w.ejected_until = now + Span(BASE_EJECTION.0 << again.min(MAX_EJECTION_DOUBLINGS));
+                w.ejected_until = now + Span(BASE_EJECTION.0 << failures.min(MAX_EJECTION_DOUBLINGS));
                 w.consecutive_failures += 1;
             }
         }
         if let Outcome::Served | Outcome::TurnedAway = outcome {
-            self.pressure += (ends(Outcome::TurnedAway) - self.pressure) * PRESSURE_GAIN;
+            self.pressure += (matches_outcome(Outcome::TurnedAway) - self.pressure) * PRESSURE_GAIN;
         }
     }
 
     pub(crate) fn on_report(&mut self, worker: Option<WorkerId>, load: Option<LoadReport>) {
         let (now, shared) = (self.now, self.is_shared_fleet());
         let (Some(w), Some(load)) = (worker.and_then(|id| self.fleet.get_mut(id)), load) else { return };
-        let since = w.reported_at.map_or(OWN_SLOTS_DECAY, |at| (now - at).min(OWN_SLOTS_DECAY)).secs();
-        let [errors, served] = [load.errors_per_s, load.served_per_s].map(|rate| rate.unwrap_or(0.0) * since);
+        let covered = w.reported_at.map_or(OWN_SLOTS_DECAY, |at| (now - at).min(OWN_SLOTS_DECAY)).secs();
+        let [errors, served] =
+            [load.errors_per_s, load.served_per_s].map(|rate| rate.unwrap_or(0.0) * covered);
         w.count_outcomes(now, ERROR_DECAY, errors, served);
         let Some(held) = w.learn_from_report(load, HIDDEN_QUEUE_RATIO, DEFAULT_SLOTS) else { return };
-        let others = held - w.smoothed_own_slots(now, OWN_SLOTS_DECAY);
-        // What is left of old news is no mean, but a wrong figure.
-        let old = shared && w.reported_at.is_none_or(|at| now - at > STALE_AFTER);
-        w.blend_other_slots(others, if old { 1.0 } else { REPORT_GAIN }, now);
+        let other_slots = held - w.smoothed_own_slots(now, OWN_SLOTS_DECAY);
+        // A stale value is replaced, not averaged: what has decayed since then is no longer a mean but a wrong value.
+        let stale = shared && w.reported_at.is_none_or(|at| now - at > STALE_AFTER);
+        w.blend_other_slots(other_slots, if stale { 1.0 } else { REPORT_GAIN }, now);
         w.reported_at = Some(now);
         self.mean_fill += (held / w.learned_slots.unwrap_or(DEFAULT_SLOTS) - self.mean_fill) * FILL_GAIN;
     }
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -1,8 +1,8 @@
 //! Placement: which worker a job is offered to.
 //!
 //! Implements the two algorithms of "A Greedy Load Balancing Algorithm on Serverless Platforms Maximizing Locality",
-//! called the paper below. Its AssignedTable T holds, for each key, the workers that serve the key; `t_full`, `t_busy`
-//! and `t_m` are its thresholds.
+//! called the paper below. Its AssignedTable T holds, for each key, the workers that serve the key; `t_full`,
+//! `t_busy` and `t_m` are its thresholds.
 
 use rand::Rng;
 
--- a/crates/decisions/src/worker.rs
+++ b/crates/decisions/src/worker.rs
@@ -45,7 +45,7 @@
         (self.tokens, self.at) = (Some(tokens), now);
         tokens
     }
-    pub fn put(&mut self, more: f64) {
+    pub fn add(&mut self, more: f64) {
         self.tokens = self.tokens.map(|tokens| tokens + more);
     }
 }
