--- a/crates/decisions/src/api.rs
+++ b/crates/decisions/src/api.rs
@@ -1,6 +1,6 @@
 //! The interface of the library: settings, events and actions.
 //!
-//! A host feeds [`Event`]s to a [`crate::Dispatcher`] and carries out the [`Action`]s it pushes.
+//! A host passes [`Event`]s to a [`crate::Dispatcher`] and carries out the [`Action`]s that it returns.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -8,35 +8,35 @@
 
 use thiserror::Error;
 
-/// A moment on the host's clock, in microseconds; the clock's start means nothing.
+/// A point in time on the host's clock, in microseconds. The clock's origin is arbitrary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub i64);
 
-/// A length of time, in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(pub i64);
 
 impl Span {
-    /// A span of `ms` milliseconds.
+    /// The span of `ms` milliseconds, rounded to microseconds.
     pub fn from_ms(ms: f64) -> Self {
         Span((ms * 1000.0).round() as i64)
     }
-    /// The span in milliseconds.
+    /// Converts to milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
-    /// The span in seconds.
+    /// Converts to seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 }
 
 impl Time {
-    /// The moment `ms` milliseconds after the clock's start.
+    /// The time `ms` milliseconds after the clock's origin, rounded to microseconds.
     pub fn from_ms(ms: f64) -> Self {
         Time((ms * 1000.0).round() as i64)
     }
-    /// Milliseconds since the clock's start.
+    /// Milliseconds since the clock's origin.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -77,10 +77,10 @@
     }
 }
 
-/// A name: of a worker, zone, kind, class or tenant. Compared, hashed, never interpreted.
+/// The name of a worker, zone, machine kind, class, tenant or key. Names are compared and hashed, never interpreted.
 pub type Name = Arc<str>;
 
-/// Identifies a request; never repeated.
+/// Identifies a request. The host never uses an id twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -90,247 +90,260 @@
     }
 }
 
-/// The place of a class in [`Settings::classes`].
+/// The index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassId(pub usize);
 
-/// The place of a tenant in [`Settings::tenants`].
+/// The index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantId(pub usize);
 
-/// The place of a machine kind in [`Settings::kinds`].
+/// The index of a machine kind in [`Settings::kinds`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub usize);
 
-/// Which workers discard repeats of a keyed request.
+/// The workers among which repeats of a keyed request are recognised and discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    /// Every worker.
+    /// All workers.
     All,
     /// The workers of one zone.
     Zone,
-    /// The workers of one cell.
+    /// The workers of one cell (rack).
     Cell,
 }
 
-/// How far a request may be repeated once it may have run.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Repeats do no harm, so there is no restriction.
     Safe,
-    /// Repeats are discarded inside `group` for `window` after the first attempt's send.
+    /// Workers of the same `group` discard repeats for `window` after the first attempt was sent.
     Keyed {
-        /// The workers that discard repeats.
+        /// The workers that recognise each other's requests.
         group: Group,
-        /// How long they remember.
+        /// How long they remember a request.
         window: Span,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// A class of requests.
+/// A class of requests: the latency goal, the worth and the repetition rules that they share.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name; no decision depends on it.
+    /// Its name in logs and metrics. No decision depends on it.
     pub name: Name,
-    /// An answer inside this time, plus `stretch` times the job's own work, has its full worth.
+    /// Latency goal: an answer within this time plus `stretch` times the job's own work has its full worth.
     pub aim: Span,
-    /// How much the aim grows with the job's own work.
+    /// How much the latency goal grows with the job's own work.
     pub stretch: f64,
-    /// The part of the worth left after the aim.
+    /// The fraction of the worth that is left after the latency goal.
     pub late_worth: f64,
-    /// What a request is worth.
+    /// The value of a request, relative to other classes; see [`Settings::worth_by`].
     pub worth: f64,
-    /// How far it may be repeated.
+    /// Whether its requests may be repeated.
     pub effect: Effect,
-    /// The kind of machine it needs, if only one will do.
+    /// The machine kind that its requests require, if any.
     pub kind: Option<KindId>,
 }
 
-/// A tenant and its part of the service.
+/// A tenant and its share of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name; no decision depends on it.
+    /// Its name in logs and metrics. No decision depends on it.
     pub name: Name,
-    /// Requests a second, over all dispatchers, that count as within its share.
+    /// Requests per second, over all dispatchers, that are within its share.
     pub allowance_per_s: f64,
 }
 
-/// What worth is counted for.
+/// The unit that the worth of a class refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorthBy {
-    /// Each request, whatever its size.
+    /// A request, whatever its size.
     Request,
-    /// Each unit of a request's work.
+    /// A unit of a request's work.
     Work,
 }
 
-/// How the list of workers reaches a dispatcher.
+/// How a dispatcher receives the list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed without a call.
     Automatic,
-    /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
+    /// The list arrives only after [`Action::Subscribe`] or [`Action::FetchList`].
     Subscribe,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reporting {
-    /// In outcomes and probe results.
+    /// Outcomes of attempts, and probe results.
     Answers,
-    /// In probe results alone.
+    /// Probe results only.
     Probe,
-    /// Nowhere.
+    /// There are no load reports.
     None,
 }
 
-/// What the host lets a dispatcher do.
+/// What the host permits a dispatcher to do.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// [`Action::Cancel`] is permitted.
     pub cancel: bool,
     /// [`Action::Probe`] is permitted.
     pub probes: bool,
-    /// Two attempts of one request may be out together.
+    /// Two attempts of one request may be pending at the same time (hedging).
     pub second_copies: bool,
-    /// Clients hear the advice of [`Action::Refuse`].
+    /// Clients receive the `retry_after` of [`Action::Refuse`].
     pub retry_after: bool,
-    /// The longest advice a client follows.
+    /// The longest `retry_after` that clients comply with.
     pub max_retry_after: Span,
-    /// The most attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: usize,
 }
 
-/// The figures of the four rules.
+/// Parameters of the four rules that every dispatcher must keep: no sends after a request's end (1), no forbidden
+/// repeats (2), no sends to workers out of service (3), and no overload of workers in slow start (4).
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// How long past the deadline a final answer still counts.
+    /// How long after the deadline a final answer is still accepted.
     pub answer_slack: Span,
-    /// Under [`Discovery::Subscribe`]: how long a dispatcher may go without asking.
+    /// Under [`Discovery::Subscribe`]: the longest time that a dispatcher may use its list without a call.
     pub ask_every: Span,
-    /// How long sends to a draining or gone worker may continue.
+    /// How long sends to a draining or removed worker may continue after the change has taken effect.
     pub drain_grace: Span,
-    /// A worker begins at no less than this part of its capacity,
+    /// The fraction of its capacity that a newly started worker has at least. Slow start raises it linearly to 1.
     pub initial_capacity: f64,
-    /// and is warm no later than this.
+    /// The duration of slow start: a worker has its full capacity at the latest after this time.
     pub ramp: Span,
-    /// A cold worker falls when sent more than this multiple of its present capacity
+    /// A worker in slow start is overloaded when more than this multiple of its present capacity is sent to it within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// within a span of this length.
+    /// The time window over which `overload_multiple` is measured.
     pub overload_window: Span,
 }
 
-/// Everything a dispatcher is told at its start.
+/// The settings of a dispatcher, fixed from its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This dispatcher's number, from 0.
+    /// This dispatcher's number, from 0 to `dispatchers - 1`.
     pub dispatcher_index: usize,
-    /// How many dispatchers send to these workers.
+    /// The number of dispatchers that send to the same workers.
     pub dispatchers: usize,
     /// The zone of this dispatcher.
     pub zone: Name,
-    /// All zones.
+    /// The names of all zones.
     pub zones: Vec<Name>,
-    /// All kinds of machine.
+    /// The names of all machine kinds.
     pub kinds: Vec<Name>,
-    /// All classes.
+    /// The request classes; [`ClassId`] is an index into them.
     pub classes: Vec<Class>,
-    /// All tenants; may be empty.
+    /// The tenants, if the host distinguishes any.
     pub tenants: Vec<Tenant>,
-    /// The worth of a request past its tenant's share, as a part of its class's.
+    /// The worth of a request beyond its tenant's share, as a fraction of its class's worth.
     pub over_share_worth: f64,
-    /// What a class's worth is counted for.
+    /// The unit that a class's worth refers to.
     pub worth_by: WorthBy,
-    /// How the list arrives.
+    /// How the list of workers arrives.
     pub discovery: Discovery,
-    /// Where load reports come from.
+    /// The source of load reports.
     pub reporting: Reporting,
-    /// Workers tell when a job starts.
+    /// Workers report when a job starts.
     pub reports_start: bool,
-    /// How often they tell how far a job is that runs; 0: never.
+    /// The interval at which workers report the progress of a running job; 0 if they never do.
     pub progress_interval: Span,
-    /// What an attempt across zones costs, as a part of a request's worth.
+    /// The cost of an attempt across zones, as a fraction of a request's worth.
     pub cross_zone_price: f64,
-    /// What log workers' work without an answer costs, as a part of the worth of the work that it takes the place of.
+    /// The cost of work on log workers whose answer is not used, as a fraction of the worth of the work that it
+    /// displaces.
     pub waste_price: f64,
-    /// The shortest gap between two calls of `handle`.
+    /// The shortest interval between two calls of [`crate::Dispatcher::handle`].
     pub quantum: Span,
     /// What the host permits.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
 }
 
-/// A setting that makes no sense.
+/// An unusable setting.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("setting {setting}: {found}, expected {expected}")]
 pub struct SettingsError {
-    /// Which setting.
+    /// The path of the setting.
     pub setting: &'static str,
-    /// What it holds.
+    /// The value found there.
     pub found: String,
-    /// What it should hold.
+    /// The values that are accepted.
     pub expected: &'static str,
 }
 
 impl Settings {
-    /// Turns down values no dispatcher could work with, naming the first.
+    /// Checks all settings and reports the first that a dispatcher cannot work with.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let need = |ok: bool, setting, found: String, expected| match ok {
+        let check = |ok: bool, setting, found: String, expected| match ok {
             true => Ok(()),
             false => Err(SettingsError { setting, found, expected }),
         };
-        let share = |v: f64| (0.0..=1.0).contains(&v);
-        let positive = |v: f64| v.is_finite() && v > 0.0;
-        need(self.dispatchers > 0, "balancers", self.dispatchers.to_string(), "at least 1")?;
-        need(
+        let fraction = |value: f64| (0.0..=1.0).contains(&value);
+        let positive = |value: f64| value.is_finite() && value > 0.0;
+        check(self.dispatchers > 0, "balancers", self.dispatchers.to_string(), "at least 1")?;
+        check(
             self.dispatcher_index < self.dispatchers,
             "me",
             self.dispatcher_index.to_string(),
             "a number below balancers",
         )?;
-        need(!self.classes.is_empty(), "classes", "none".into(), "at least one class")?;
+        check(!self.classes.is_empty(), "classes", "none".into(), "at least one class")?;
         for class in &self.classes {
-            need(class.aim.0 > 0, "classes.aim", class.aim.ms().to_string(), "more than 0 ms")?;
-            need(
+            check(class.aim.0 > 0, "classes.aim", class.aim.ms().to_string(), "more than 0 ms")?;
+            check(
                 class.stretch.is_finite() && class.stretch >= 0.0,
                 "classes.stretch",
                 class.stretch.to_string(),
                 "0 or more",
             )?;
-            need(share(class.late_worth), "classes.late_worth", class.late_worth.to_string(), "0 to 1")?;
-            need(
+            check(fraction(class.late_worth), "classes.late_worth", class.late_worth.to_string(), "0 to 1")?;
+            check(
                 class.worth.is_finite() && class.worth >= 0.0,
                 "classes.worth",
                 class.worth.to_string(),
                 "0 or more",
             )?;
             if let Some(kind) = class.kind {
-                need(kind.0 < self.kinds.len(), "classes.kind", kind.0.to_string(), "a place in kinds")?;
+                check(kind.0 < self.kinds.len(), "classes.kind", kind.0.to_string(), "a place in kinds")?;
             }
             if let Effect::Keyed { window, .. } = class.effect {
-                need(window.0 >= 0, "classes.window", window.ms().to_string(), "0 ms or more")?;
+                check(window.0 >= 0, "classes.window", window.ms().to_string(), "0 ms or more")?;
             }
         }
         for tenant in &self.tenants {
             let rate = tenant.allowance_per_s;
-            need(rate.is_finite() && rate >= 0.0, "tenants.allowance_per_s", rate.to_string(), "0 or more")?;
+            check(rate.is_finite() && rate >= 0.0, "tenants.allowance_per_s", rate.to_string(), "0 or more")?;
         }
-        need(share(self.over_share_worth), "over_share_worth", self.over_share_worth.to_string(), "0 to 1")?;
-        need(self.quantum.0 > 0, "quantum", self.quantum.ms().to_string(), "more than 0 ms")?;
+        check(
+            fraction(self.over_share_worth),
+            "over_share_worth",
+            self.over_share_worth.to_string(),
+            "0 to 1",
+        )?;
+        check(self.quantum.0 > 0, "quantum", self.quantum.ms().to_string(), "more than 0 ms")?;
         let limits = &self.limits;
-        need(limits.max_attempts > 0, "limits.max_attempts", limits.max_attempts.to_string(), "at least 1")?;
-        need(
+        check(limits.max_attempts > 0, "limits.max_attempts", limits.max_attempts.to_string(), "at least 1")?;
+        check(
             limits.max_retry_after.0 >= 0,
             "limits.max_retry_after",
             limits.max_retry_after.ms().to_string(),
             "0 ms or more",
         )?;
         let rules = &self.rules;
-        need(share(rules.initial_capacity), "rules.cold_from", rules.initial_capacity.to_string(), "0 to 1")?;
-        need(
+        check(
+            fraction(rules.initial_capacity),
+            "rules.cold_from",
+            rules.initial_capacity.to_string(),
+            "0 to 1",
+        )?;
+        check(
             positive(rules.overload_multiple),
             "rules.fall_multiple",
             rules.overload_multiple.to_string(),
@@ -342,11 +355,11 @@
             ("rules.ramp", rules.ramp),
             ("rules.fall_span", rules.overload_window),
         ] {
-            need(span.0 >= 0, name, span.ms().to_string(), "0 ms or more")?;
+            check(span.0 >= 0, name, span.ms().to_string(), "0 ms or more")?;
         }
-        let asks = self.discovery == Discovery::Subscribe;
-        need(
-            !asks || rules.ask_every.0 > 0,
+        let by_calls = self.discovery == Discovery::Subscribe;
+        check(
+            !by_calls || rules.ask_every.0 > 0,
             "rules.ask_every",
             rules.ask_every.ms().to_string(),
             "more than 0 ms",
@@ -354,318 +367,321 @@
     }
 }
 
-/// Whether a listed worker may be sent new work.
+/// The state of a worker in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Takes work.
+    /// Accepts new jobs.
     InService,
-    /// Completes its work; takes nothing new.
+    /// Completes its jobs and accepts no new ones.
     Draining,
-    /// Taken away.
+    /// Removed from the list.
     Gone,
 }
 
-/// A worker as the list describes it.
+/// A worker's entry in the list.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// The worker.
+    /// The worker's name.
     pub worker: Name,
-    /// Its kind of machine.
+    /// Its machine kind.
     pub kind: Name,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: Name,
-    /// Its cell, where there are any.
+    /// Its cell (rack), if the fleet has cells.
     pub cell: Option<u64>,
-    /// When it last started; absent means long ago.
+    /// Its last start. Absent if that is so long ago that slow start is over.
     pub started: Option<Time>,
-    /// Its size against other workers.
+    /// Its size relative to other workers.
     pub weight: f64,
-    /// Whether it takes work.
+    /// Whether it accepts new jobs.
     pub readiness: Readiness,
 }
 
-/// A worker that operators have taken out by hand.
+/// A worker that operators have ejected manually.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ban {
-    /// The worker; it need not be listed.
+    /// The worker's name. It need not be in the list.
     pub worker: Name,
-    /// Since when.
+    /// When it was ejected.
     pub since: Time,
 }
 
-/// How many workers there are for a dispatcher.
+/// The number of workers from a dispatcher's point of view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkerCounts {
-    /// Those in the list: in service, or draining.
+    /// Workers in the list, in service or draining.
     pub known: usize,
-    /// Those of them that get nothing now: draining, taken out by hand, or shunned after failures.
+    /// Those of them that are sent nothing now: draining, manually ejected, or ejected after failures.
     pub skipped: usize,
 }
 
-/// What a list update holds.
+/// What a list update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only what changed.
+    /// Only the entries that changed.
     Changes,
-    /// Everything.
+    /// The complete list.
     Complete,
-    /// Everything, as this dispatcher's predecessor last held it.
+    /// The complete list as this dispatcher's previous process last held it.
     Remembered,
-    /// A call failed or the subscription broke; nothing changed.
+    /// A call failed or the subscription ended. No entries are given.
     Failed,
-    /// Something was told that cannot be read, so nobody knows what changed.
+    /// An update could not be read, so what it changed is unknown.
     Unusable,
-    /// The subscription was given up, since nothing came on it; nothing changed.
+    /// The subscription was closed because no message arrived on it. No entries are given.
     Silent {
-        /// When the last word came.
+        /// When the last message arrived.
         since: Time,
     },
-    /// The list comes from elsewhere from now on, where the host asks by itself; nothing changed.
+    /// From now on the list comes from another source, which the host calls by itself. No entries are given.
     SourceChanged,
 }
 
-/// A client's request.
+/// A client's request as a dispatcher sees it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Its unique id.
     pub id: RequestId,
-    /// Its class.
+    /// The class that it belongs to.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Its tenant, if the host distinguishes tenants.
     pub tenant: Option<TenantId>,
-    /// The program or data set it needs.
+    /// The program or data set that it needs. Jobs with the same key are placed together.
     pub key: Option<Name>,
-    /// What a keyed request has in common with its client's other tries: a hash of its idempotency key.
+    /// Hash of a keyed request's idempotency key, which is the same for all tries of its client.
     pub idempotency_hash: Option<u64>,
-    /// Its work as time on a standard core, where a usable hint came along.
+    /// Its work as time on a standard core, if the client gave a usable hint.
     pub work: Option<Span>,
-    /// Slots it takes.
+    /// Slots that it occupies on a worker.
     pub slots: f64,
-    /// Memory units it takes.
+    /// Memory units that it occupies.
     pub memory: f64,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Time,
 }
 
-/// A worker's own, late and noisy account of its load.
+/// A worker's report of its load, which arrives late and is noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests that it holds, running or queued.
     pub inflight: Option<f64>,
-    /// Requests waiting.
+    /// Requests in its queue.
     pub queue: Option<f64>,
-    /// The part of its cores in use.
+    /// The fraction of its cores in use.
     pub util: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served_per_s: Option<f64>,
-    /// Free slots.
+    /// Slots that no job occupies.
     pub free_slots: Option<f64>,
-    /// Free memory units.
+    /// Memory units that no job occupies.
     pub free_memory: Option<f64>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The worker served the request, or answered the probe.
     Served,
     /// The worker answered with an error.
     Error,
-    /// Turned away unseen.
+    /// The worker rejected the request without starting it.
     TurnedAway,
-    /// No answer in time.
+    /// There was no answer in time.
     NoAnswer,
-    /// No connection was made.
+    /// No connection could be opened.
     NoConnection,
-    /// The connection broke.
+    /// The connection broke before the answer.
     ConnectionLost,
-    /// Called off.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// A connection kept from earlier broke before any answer: it may have run, and the worker may be well.
+    /// A reused connection turned out to be stale and broke before any answer. The request may have run, and the
+    /// worker may be healthy.
     StaleConnection,
-    /// The worker cannot use the request: that is the client's doing, and no other worker can.
+    /// The request is malformed: the error is the client's and every worker would reject it.
     Unusable,
 }
 
 impl Outcome {
-    /// Only these three prove that nothing ran.
+    /// Whether the outcome proves that the worker did not run the request. All others leave that open.
     pub fn proves_no_run(self) -> bool {
         matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
     }
 }
 
-/// News of an attempt that is still out.
+/// A worker's message on a pending attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptUpdate {
-    /// The job has started.
+    /// The job has left the queue and runs.
     Started,
-    /// This part of it is done.
+    /// This fraction of the job is done.
     Progress(f64),
-    /// A note of another family.
+    /// A message of a kind that dispatchers do not use.
     Other,
 }
 
-/// The end of an attempt.
+/// How and when an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which attempt, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: usize,
-    /// How it ended.
+    /// The result of the attempt.
     pub outcome: Outcome,
-    /// How long it was out.
+    /// The time from its send to its end.
     pub latency: Span,
-    /// The request has ended, now or earlier.
+    /// Whether the request itself has ended, by this attempt or earlier.
     pub closed: bool,
-    /// The worker's load, if it came along.
+    /// The worker's load, if the answer carried a report.
     pub load: Option<LoadReport>,
 }
 
-/// What a host tells a dispatcher.
+/// An input from the host to a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list.
+    /// The list of workers was received, has changed, or could not be received.
     List {
-        /// What the entries are.
+        /// What the entries represent.
         scope: ListScope,
-        /// The entries.
+        /// Entries of workers; empty for scopes that change nothing.
         entries: Arc<[Listing]>,
     },
-    /// All that operators have taken out by hand; whoever was among them and is no more is back.
+    /// All workers that operators have ejected manually. A worker that was in the previous set and is not in this one
+    /// returns to service.
     Bans(Arc<[Ban]>),
-    /// A request arrived; exactly one final answer is now owed.
+    /// A request arrived. The dispatcher must give it exactly one final answer.
     Request(Request),
-    /// A streamed answer started; the request has no deadline any more.
+    /// A streamed answer started. The request has no deadline from now on.
     StreamStarted {
-        /// The request.
+        /// The request that is answered.
         request: RequestId,
-        /// Which attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: usize,
     },
-    /// News of an attempt.
+    /// A worker sent a message on a pending attempt.
     AttemptUpdate {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt, from 0.
         attempt: usize,
-        /// The news.
+        /// The worker's message.
         update: AttemptUpdate,
     },
     /// An attempt ended.
     Outcome(AttemptEnd),
-    /// The client left; nothing is owed any more.
+    /// The client disconnected. No final answer is expected any more.
     ClientGone(RequestId),
-    /// A timer is due.
+    /// A timer of [`Action::SetTimer`] fired; holds its token.
     Timer(u64),
-    /// A probe ended.
+    /// A probe of [`Action::Probe`] ended.
     Probed {
-        /// The worker.
+        /// The worker that was probed.
         worker: Name,
-        /// How.
+        /// The result of the probe.
         outcome: Outcome,
-        /// How long it took.
+        /// The time from its send to its end.
         latency: Span,
-        /// The worker's load, if it came along.
+        /// The worker's load, if the answer carried a report.
         load: Option<LoadReport>,
     },
-    /// A message of another dispatcher.
+    /// A message from another dispatcher.
     Peer {
-        /// Its number.
+        /// The sender's number.
         from: u64,
-        /// What it says.
+        /// The bytes of the message.
         content: Vec<u8>,
     },
 }
 
-/// What a dispatcher wants done.
+/// What the host has to do for a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a worker; attempts count from 0.
+    /// Send the request to a worker, as its next attempt. Attempts of a request are numbered from 0.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The worker.
+        /// The worker to send to.
         worker: Name,
-        /// Time-out of this attempt; none means until the client gives up.
+        /// Timeout of the attempt; none means until the client gives up.
         timeout: Option<Span>,
-        /// When it must have gone out, or not at all: what allowed it holds no longer.
+        /// The latest time at which it may be sent, because the conditions that allow it end then. Later it must not
+        /// be sent at all.
         by: Time,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt and stop waiting for it.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt, from 0.
         attempt: usize,
     },
-    /// Final answer: it did not run and a new try does no harm.
+    /// Final answer: refused. The request did not run, or a new try does no harm.
     Refuse {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// How long the client should keep away.
+        /// How long the client should wait before it tries again.
         retry_after: Option<Span>,
-        /// Why.
+        /// Why the request ends.
         reason: EndReason,
     },
-    /// Final answer: failed, whether or not it ran.
+    /// Final answer: failed. The request may have run.
     Fail {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// Why.
+        /// Why the request ends.
         reason: EndReason,
     },
-    /// Ask for changes of the list.
+    /// Subscribe to the list of workers and its changes.
     Subscribe,
-    /// Ask for the complete list once.
+    /// Fetch the complete list once.
     FetchList,
-    /// Ask for [`Event::Timer`].
+    /// Set a timer that ends with [`Event::Timer`].
     SetTimer {
-        /// When.
+        /// When it fires.
         at: Time,
-        /// Returned with the event.
+        /// A token that the event returns.
         token: u64,
     },
-    /// Probe a worker.
+    /// Send a probe to a worker.
     Probe(Name),
-    /// Close idle connections to a worker.
+    /// Close the idle connections to a worker.
     CloseIdle(Name),
-    /// Send bytes to one other dispatcher, or to all.
+    /// Send a message to one other dispatcher or to all of them.
     SendToPeer {
-        /// Its number; none means all.
+        /// The recipient's number; none means all dispatchers.
         peer: Option<u64>,
-        /// The bytes, 256 at most.
+        /// The bytes of the message, at most 256.
         content: Vec<u8>,
     },
-    /// A line for the operator.
+    /// Write a line to the operator's log.
     Log(String),
 }
 
-/// Why a request ends with an answer that is not a worker's; for logs and metrics.
+/// Why a request ends without a worker's answer. Appears in logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its deadline is reached.
+    /// The request's deadline is reached.
     DeadlineReached,
-    /// Whichever worker took it now would start it too late.
+    /// Any worker would start it too late by now.
     TooLateToStart,
-    /// It may have run, and no worker may run it again.
+    /// It may have run already, and no worker in service may run it again.
     NoRepeatAllowed,
-    /// Every attempt that the settings allow was made.
+    /// All attempts that the settings allow have been made.
     AttemptsExhausted,
-    /// The worker chosen for it would most likely start it too late.
+    /// The worker chosen for it would probably start it too late.
     LikelyLate,
-    /// Its tenant is beyond its share.
+    /// Its tenant exceeds its share, and no worker has a free slot for it.
     TenantOverShare,
-    /// Every worker was taken out of service by an operator.
+    /// Operators have ejected every worker that would be in service.
     AllBanned,
 }
 
 impl EndReason {
-    /// Every reason, in the order of [`EndReason::index`].
+    /// All reasons, in the order of [`EndReason::index`].
     pub const ALL: [EndReason; 7] = [
         EndReason::DeadlineReached,
         EndReason::TooLateToStart,
@@ -676,12 +692,12 @@
         EndReason::AllBanned,
     ];
 
-    /// Its place in [`EndReason::ALL`].
+    /// The position in [`EndReason::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::DeadlineReached => "deadline_reached",
