--- a/crates/decisions/src/requests.rs
+++ b/crates/decisions/src/requests.rs
@@ -1,4 +1,4 @@
-//! Open requests, their attempts, and when each is looked at next.
+//! Open requests, their attempts, and when each request is due for its next check.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,24 +7,24 @@
 use crate::api::*;
 use crate::worker::{KeyHash, WorkerId};
 
-/// The workers that share what they remember of a keyed request.
+/// The workers among which a repeat of a keyed request is recognised and discarded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DedupGroup {
     All,
     Zone(Name),
     Cell(u64),
-    /// No group is known: the worker alone.
+    /// The worker's cell is unknown, so only this worker recognises a repeat.
     Single(WorkerId),
 }
 
-/// What is known of one attempt's end.
+/// What is known about whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptState {
-    /// No outcome yet.
+    /// There is no outcome yet.
     Pending,
-    /// It is proven that it never ran.
+    /// The outcome proves that it did not run.
     NeverRan,
-    /// It ran, or nobody knows.
+    /// It ran, or it is unknown whether it did.
     MayHaveRun,
 }
 
@@ -32,38 +32,40 @@
 pub struct Attempt {
     pub worker: WorkerId,
     pub sent: Time,
-    pub peers: DedupGroup,
+    /// The workers that discard a repeat of this attempt.
+    pub group: DedupGroup,
     pub state: AttemptState,
     pub started: Option<Time>,
-    /// When the worker last told how far it is, from the start on.
-    heard: Option<Time>,
+    /// When the worker's last message on it arrived, since its start.
+    last_update: Option<Time>,
     pub cancelled: bool,
 }
 
 impl Attempt {
-    pub fn new(worker: WorkerId, sent: Time, peers: DedupGroup) -> Self {
+    pub fn new(worker: WorkerId, sent: Time, group: DedupGroup) -> Self {
         Attempt {
             worker,
             sent,
-            peers,
+            group,
             state: AttemptState::Pending,
             started: None,
-            heard: None,
+            last_update: None,
             cancelled: false,
         }
     }
 }
 
-/// One request from its arrival until its last attempt is back.
+/// A request, from its arrival until all its attempts have ended.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub id: RequestId,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: Option<KeyHash>,
-    tag: Option<u64>,
-    /// An earlier try of its client that may have run: who drops its repeat, and when it was sent first.
-    before: Option<(DedupGroup, Time)>,
+    idempotency_hash: Option<u64>,
+    /// The first attempt of its client's earlier tries that may have run: the workers that discard its repeat, and
+    /// when it was sent.
+    earlier_run: Option<(DedupGroup, Time)>,
     pub work: Option<Span>,
     pub slots: f64,
     pub memory: f64,
@@ -73,24 +75,24 @@
     pub streaming: bool,
     pub ended: bool,
     pub attempts: Vec<Attempt>,
-    /// When this job is looked at again, as filed in [`Book::due`].
+    /// When this job is checked next, as entered in [`Requests::due`].
     due: Option<Time>,
 }
 
 impl Job {
-    pub fn new(r: Request, key: Option<KeyHash>, over_share: bool, now: Time) -> Self {
+    pub fn new(request: Request, key: Option<KeyHash>, over_share: bool, now: Time) -> Self {
         Job {
-            id: r.id,
-            class: r.class,
-            tenant: r.tenant,
+            id: request.id,
+            class: request.class,
+            tenant: request.tenant,
             key,
-            tag: r.idempotency_hash,
-            before: None,
-            work: r.work,
-            slots: r.slots,
-            memory: r.memory,
+            idempotency_hash: request.idempotency_hash,
+            earlier_run: None,
+            work: request.work,
+            slots: request.slots,
+            memory: request.memory,
             arrived: now,
-            deadline: r.deadline,
+            deadline: request.deadline,
             over_share,
             streaming: false,
             ended: false,
@@ -101,52 +103,54 @@
     pub fn pending_attempts(&self) -> usize {
         self.attempts.iter().filter(|a| a.state == AttemptState::Pending).count()
     }
-    /// What may have run, earlier tries of its client included: who drops its repeat, and when it was sent.
+    /// All attempts that may have run, including those of its client's earlier tries: the workers that discard a
+    /// repeat, and when the attempt was sent.
     pub fn possible_runs(&self) -> impl Iterator<Item = (&DedupGroup, Time)> {
         let attempts = self.attempts.iter().filter(|a| a.state != AttemptState::NeverRan);
-        let before = self.before.iter().map(|(peers, sent)| (peers, *sent));
-        before.chain(attempts.map(|a| (&a.peers, a.sent)))
+        let earlier = self.earlier_run.iter().map(|(group, sent)| (group, *sent));
+        earlier.chain(attempts.map(|a| (&a.group, a.sent)))
     }
     pub fn may_have_run(&self) -> bool {
         self.possible_runs().next().is_some()
     }
-    /// Until when a repeat that takes so long to arrive is dropped, where workers drop repeats for a time; none if
-    /// nothing may have run.
-    pub fn repeat_deadline(&self, effect: Effect, reach: Span) -> Option<Time> {
+    /// Until when a repeat may be sent that arrives within `transit` and is still discarded by workers. None if the
+    /// class is not keyed or no attempt may have run.
+    pub fn repeat_deadline(&self, effect: Effect, transit: Span) -> Option<Time> {
         let Effect::Keyed { window, .. } = effect else { return None };
-        self.possible_runs().map(|(_, sent)| sent + (window - reach)).min()
+        self.possible_runs().map(|(_, sent)| sent + (window - transit)).min()
     }
-    /// As it will be once all that is out is called off.
+    /// Sets the pending attempts to the state that they will have after they are cancelled.
     pub fn assume_cancelled(&mut self) {
         self.attempts
             .iter_mut()
             .filter(|a| a.state == AttemptState::Pending)
             .for_each(|a| a.state = AttemptState::MayHaveRun);
     }
-    /// When a worker that runs it will have been silent for `patience`, if that is more than nothing.
-    pub fn silent_at(&self, patience: Span) -> Option<Time> {
-        let out = self
+    /// When a worker that runs the job will have sent no update for `timeout`. None if `timeout` is 0.
+    pub fn silent_at(&self, timeout: Span) -> Option<Time> {
+        let pending = self
             .attempts
             .iter()
-            .filter(|a| a.state == AttemptState::Pending && !a.cancelled && patience.0 > 0);
-        out.filter_map(|a| Some(a.heard? + patience)).min()
+            .filter(|a| a.state == AttemptState::Pending && !a.cancelled && timeout.0 > 0);
+        pending.filter_map(|a| Some(a.last_update? + timeout)).min()
     }
     pub fn tried(&self, worker: WorkerId) -> bool {
         self.attempts.iter().any(|a| a.worker == worker)
     }
 }
 
-/// Requests, and when each is looked at next.
+/// All open requests in the order of their next checks, and what is remembered of finished ones.
 #[derive(Default)]
 pub struct Requests {
     jobs: FxHashMap<RequestId, Job>,
     due: BTreeSet<(Time, RequestId)>,
-    /// What may have run of requests that are over, by their tags, the oldest first.
-    ran: FxHashMap<u64, (DedupGroup, Time)>,
-    tags: VecDeque<u64>,
+    /// For finished keyed requests, by their idempotency hashes: their first attempt that may have run.
+    finished_runs: FxHashMap<u64, (DedupGroup, Time)>,
+    /// The hashes in `finished_runs`, the oldest first.
+    finished_order: VecDeque<u64>,
 }
 
-/// Tags remembered: minutes of a dispatcher's keyed requests.
+/// Number of finished keyed requests that are remembered: those of some minutes at one dispatcher.
 const MAX_REMEMBERED_RUNS: usize = 4096;
 
 impl Requests {
@@ -157,25 +161,27 @@
         self.jobs.get_mut(&id)
     }
     pub fn open(&mut self, mut job: Job) {
-        if let Some(tag) = job.tag {
-            let open = || self.jobs.values().filter(|other| other.tag == Some(tag));
-            let out = || open().flat_map(Job::possible_runs).map(|(peers, sent)| (peers.clone(), sent));
-            job.before = self.ran.get(&tag).cloned().or_else(|| out().min_by_key(|ran| ran.1));
+        if let Some(hash) = job.idempotency_hash {
+            let same_key = || self.jobs.values().filter(|other| other.idempotency_hash == Some(hash));
+            let open_runs =
+                || same_key().flat_map(Job::possible_runs).map(|(group, sent)| (group.clone(), sent));
+            let finished = self.finished_runs.get(&hash).cloned();
+            job.earlier_run = finished.or_else(|| open_runs().min_by_key(|run| run.1));
         }
         self.jobs.insert(job.id, job);
     }
-    /// Keeps what may have run of a request that is over.
+    /// Remembers the first attempt of a finished request that may have run, and forgets the oldest beyond the limit.
     fn remember(&mut self, job: &Job) {
-        let first = job.possible_runs().min_by_key(|ran| ran.1).map(|(peers, sent)| (peers.clone(), sent));
-        let (Some(tag), Some(first)) = (job.tag, first) else { return };
-        if self.ran.insert(tag, first).is_none() {
-            self.tags.push_back(tag);
+        let first = job.possible_runs().min_by_key(|run| run.1).map(|(group, sent)| (group.clone(), sent));
+        let (Some(hash), Some(first)) = (job.idempotency_hash, first) else { return };
+        if self.finished_runs.insert(hash, first).is_none() {
+            self.finished_order.push_back(hash);
         }
-        if self.tags.len() > MAX_REMEMBERED_RUNS {
-            self.tags.pop_front().and_then(|tag| self.ran.remove(&tag));
+        if self.finished_order.len() > MAX_REMEMBERED_RUNS {
+            self.finished_order.pop_front().and_then(|hash| self.finished_runs.remove(&hash));
         }
     }
-    /// Files the next look at a job, replacing the earlier one.
+    /// Sets the time of a job's next check, replacing the earlier one. None removes it.
     pub fn schedule(&mut self, id: RequestId, at: Option<Time>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if let Some(old) = job.due.take() {
@@ -197,22 +203,24 @@
         self.schedule(id, None);
         Some(id)
     }
-    /// Marks the attempts that are out as called off, or only those not started, and names the newly marked.
+    /// Marks pending attempts as cancelled, with `started_too` false only those that have not started. Returns the
+    /// numbers of those that were not marked before. A request whose answer streams is left alone.
     pub fn mark_cancelled(&mut self, id: RequestId, started_too: bool) -> Vec<usize> {
         let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.streaming) else { return Vec::new() };
-        let marked = |a: &&mut Attempt| {
+        let to_cancel = |a: &&mut Attempt| {
             a.state == AttemptState::Pending && !a.cancelled && (started_too || a.started.is_none())
         };
-        let mut which = Vec::new();
-        for (at, a) in job.attempts.iter_mut().enumerate() {
-            if marked(&a) {
+        let mut numbers = Vec::new();
+        for (number, a) in job.attempts.iter_mut().enumerate() {
+            if to_cancel(&a) {
                 a.cancelled = true;
-                which.push(at);
+                numbers.push(number);
             }
         }
-        which
+        numbers
     }
-    /// Takes what a worker tells of an attempt; returns the worker and when it was sent to, if it has just started.
+    /// Records a worker's message on an attempt. If the attempt has just started, returns its worker and when it was
+    /// sent.
     pub fn on_update(
         &mut self,
         id: RequestId,
@@ -223,17 +231,17 @@
         let a = self.jobs.get_mut(&id)?.attempts.get_mut(attempt)?;
         let starts = update == AttemptUpdate::Started && a.started.is_none();
         a.started = a.started.or(starts.then_some(now));
-        a.heard = a.started.map(|_| now);
+        a.last_update = a.started.map(|_| now);
         starts.then_some((a.worker, a.sent))
     }
-    /// The answer streams: from now on the request has no deadline.
+    /// Records that a streamed answer has started: the request has no deadline and no further checks.
     pub fn on_stream_started(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.attempts.is_empty()) {
             job.streaming = true;
             self.schedule(id, None);
         }
     }
-    /// Drops a job that has ended and has no attempt out.
+    /// Removes a job that has ended and has no pending attempts.
     pub fn close_if_done(&mut self, id: RequestId) {
         if self.jobs.get(&id).is_some_and(|j| j.ended && j.pending_attempts() == 0) {
             self.schedule(id, None);
