--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All workers: which are listed, in service, or taken out by hand.
+//! All workers that a dispatcher knows: which are listed, in service, or manually ejected.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,22 @@
 use crate::partitions::{Candidate, Partitions};
 use crate::worker::{KeyHash, Worker, WorkerId};
 
-/// Beyond so many workers that enter service at once their order is merged as a whole, not one by one.
+/// When more workers than this enter or leave service at once, `in_service` is sorted as a whole; otherwise each
+/// worker is inserted at its place.
 const MAX_SINGLE_INSERTS: usize = 16;
 
-/// Workers by name and number, and those in service in the order of their names.
+/// All workers, by name and by id.
 #[derive(Default)]
 pub struct Fleet {
     by_name: FxHashMap<Name, WorkerId>,
     by_id: FxHashMap<WorkerId, Worker>,
     next: WorkerId,
-    /// What operators have taken out by hand, and since when.
+    /// The workers that operators have ejected manually, and when.
     banned: BTreeMap<Name, Time>,
+    /// The workers in service, in the order of their names.
     pub in_service: Vec<WorkerId>,
-    /// Those of the own zone and the others; for any job, and for the jobs that need one kind.
+    /// The workers in service, by whether they are in the own zone. Each is entered twice: under no kind, for any
+    /// job, and under its kind, for the jobs that require it.
     partitions: BTreeMap<(bool, Option<KindId>), Partitions>,
 }
 
@@ -34,14 +37,14 @@
     pub fn get_mut(&mut self, id: WorkerId) -> Option<&mut Worker> {
         self.by_id.get_mut(&id)
     }
-    /// Takes a list or its changes; a worker absent from a complete list has been removed.
-    pub fn apply_list(&mut self, scope: ListScope, entries: &[Listing], s: &Settings, now: Time) {
-        let mut moves = Vec::new();
+    /// Applies a list or changes of it. A worker that is absent from a complete list has been removed.
+    pub fn apply_list(&mut self, scope: ListScope, entries: &[Listing], settings: &Settings, now: Time) {
+        let mut changed = Vec::new();
         if scope != ListScope::Changes {
             let named: FxHashSet<&str> = entries.iter().map(|entry| entry.worker.as_ref()).collect();
-            let left = self.by_name.iter().filter(|(name, _)| !named.contains(name.as_ref()));
-            let left: Vec<WorkerId> = left.map(|(_, id)| *id).collect();
-            left.into_iter().for_each(|id| moves.extend(self.set_readiness(id, Readiness::Gone)));
+            let removed = self.by_name.iter().filter(|(name, _)| !named.contains(name.as_ref()));
+            let removed: Vec<WorkerId> = removed.map(|(_, id)| *id).collect();
+            removed.into_iter().for_each(|id| changed.extend(self.set_readiness(id, Readiness::Gone)));
         }
         for entry in entries {
             let id = match self.find(&entry.worker) {
@@ -50,7 +53,7 @@
                 None => {
                     self.next += 1;
                     self.by_name.insert(entry.worker.clone(), self.next);
-                    self.by_id.insert(self.next, Worker::new(entry, s, now));
+                    self.by_id.insert(self.next, Worker::new(entry, settings, now));
                     self.next
                 }
             };
@@ -60,70 +63,72 @@
                 w.restart(entry.started, now);
             }
             w.cell = entry.cell.or(w.cell);
-            let (weighs, hash, keys) = (w.weight != entry.weight, w.name_hash, w.partitions());
+            let (reweighted, hash, keys) = (w.weight != entry.weight, w.name_hash, w.partitions());
             w.weight = entry.weight;
-            if weighs && w.in_service {
+            if reweighted && w.in_service {
                 for key in keys {
                     self.partitions.entry(key).or_default().set_weight(hash, id, entry.weight);
                 }
             }
-            moves.extend(self.set_readiness(id, entry.readiness));
+            changed.extend(self.set_readiness(id, entry.readiness));
         }
-        self.reorder(&moves);
+        self.reorder(&changed);
     }
-    /// Takes what operators have taken out by hand, whether it is listed or not. What comes back was restarted
-    /// meanwhile, so it is as cold as one can be, unless the list told of that start since.
+    /// Replaces the set of manually ejected workers, which need not be listed. A worker that returns is assumed to
+    /// have been restarted meanwhile and begins a slow start now, unless the list has shown that start since the
+    /// ejection.
     pub fn apply_bans(&mut self, bans: &[Ban], now: Time) {
         let new = bans.iter().map(|ban| (ban.worker.clone(), ban.since)).collect();
         let old = std::mem::replace(&mut self.banned, new);
-        let mut moves = Vec::new();
-        let back = old.iter().filter(|(name, _)| !self.banned.contains_key(*name));
+        let mut changed = Vec::new();
+        let returned = old.iter().filter(|(name, _)| !self.banned.contains_key(*name));
         for (id, since) in
-            back.filter_map(|(name, since)| Some((self.find(name)?, *since))).collect::<Vec<_>>()
+            returned.filter_map(|(name, since)| Some((self.find(name)?, *since))).collect::<Vec<_>>()
         {
             if let Some(w) = self.by_id.get_mut(&id).filter(|w| w.listed_start.is_none_or(|at| at < since)) {
                 w.restart(Some(now), now);
             }
-            moves.extend(self.update_in_service(id));
+            changed.extend(self.update_in_service(id));
         }
         for id in bans.iter().filter_map(|ban| self.find(&ban.worker)).collect::<Vec<_>>() {
-            moves.extend(self.update_in_service(id));
+            changed.extend(self.update_in_service(id));
         }
-        self.reorder(&moves);
+        self.reorder(&changed);
     }
-    /// Whether a worker is listed, or taken out by hand.
+    /// Whether a worker is listed or manually ejected.
     pub fn knows(&self, name: &str) -> bool {
         let listed =
             self.find(name).and_then(|id| self.get(id)).is_some_and(|w| w.readiness != Readiness::Gone);
         listed || self.banned.contains_key(name)
     }
-    /// Whether operators, and nothing else, leave no worker in service.
+    /// Whether no worker is in service only because operators have ejected those that the list has in service.
     pub fn all_banned(&self) -> bool {
         let in_service = || self.by_id.values().any(|w| w.readiness == Readiness::InService);
         self.in_service.is_empty() && !self.banned.is_empty() && in_service()
     }
+    /// Counts the listed workers, and those of them that are sent nothing now.
     pub fn worker_counts(&self, now: Time) -> WorkerCounts {
         let listed = || self.by_id.values().filter(|w| w.readiness != Readiness::Gone);
         let skipped = listed().filter(|w| !w.in_service || now < w.ejected_until).count();
         WorkerCounts { known: listed().count(), skipped }
     }
-    #[must_use = "the order of those in service is not kept otherwise"]
+    #[must_use = "changed workers have to be passed to `reorder`"]
     fn set_readiness(&mut self, id: WorkerId, readiness: Readiness) -> Option<WorkerId> {
         self.by_id.get_mut(&id)?.readiness = readiness;
         self.update_in_service(id)
     }
-    /// Files a worker by whether it is in service; names it if that has changed. One that is gone and owes nothing is
-    /// forgotten.
-    #[must_use = "the order of those in service is not kept otherwise"]
+    /// Updates whether a worker is in service, and returns it if that has changed. A worker that is removed and idle
+    /// is dropped.
+    #[must_use = "changed workers have to be passed to `reorder`"]
     fn update_in_service(&mut self, id: WorkerId) -> Option<WorkerId> {
         let w = self.by_id.get_mut(&id)?;
-        let ready = w.readiness == Readiness::InService && !self.banned.contains_key(&w.name);
-        let changed = std::mem::replace(&mut w.in_service, ready) != ready;
+        let in_service = w.readiness == Readiness::InService && !self.banned.contains_key(&w.name);
+        let changed = std::mem::replace(&mut w.in_service, in_service) != in_service;
         if changed {
             let (candidate, keys) = (w.candidate(id), w.partitions());
             for key in keys {
                 let parts = self.partitions.entry(key).or_default();
-                match ready {
+                match in_service {
                     true => parts.insert(candidate),
                     false => parts.remove(candidate.hash, id),
                 }
@@ -132,20 +137,20 @@
         self.remove_if_idle(id);
         changed.then_some(id)
     }
-    /// Keeps `ready` in the order of names after these workers entered or left service.
-    fn reorder(&mut self, moves: &[WorkerId]) {
+    /// Restores the order of `in_service` after these workers have entered or left service.
+    fn reorder(&mut self, changed: &[WorkerId]) {
         let by_id = &self.by_id;
         let name = |id: &WorkerId| by_id.get(id).map(|w| &w.name);
         let in_service = |id: &WorkerId| by_id.get(id).is_some_and(|w| w.in_service);
-        if !moves.iter().all(in_service) {
+        if !changed.iter().all(in_service) {
             self.in_service.retain(in_service);
         }
-        let entered = moves.iter().filter(|id| in_service(id));
-        if moves.len() > MAX_SINGLE_INSERTS {
+        let entered = changed.iter().filter(|id| in_service(id));
+        if changed.len() > MAX_SINGLE_INSERTS {
             let mut named: Vec<_> = self.in_service.iter().chain(entered).map(|id| (name(id), *id)).collect();
             named.sort();
             self.in_service = named.into_iter().map(|(_, id)| id).collect();
-            // One that left and came back is there twice.
+            // A worker that has left and entered again within one update occurs twice.
             self.in_service.dedup();
             return;
         }
@@ -156,51 +161,56 @@
             }
         }
     }
-    /// Workers in service from which a key takes its order: in a fleet of some hundreds all, else a fixed number
-    /// that depends on the key. Of the own zone, of others, or of all.
+    /// The workers in service from which a key's order is taken: all of them in a fleet of up to some hundreds,
+    /// otherwise a number of partitions that depend on the key. `same_zone` restricts them to the own zone or to
+    /// other zones.
     pub fn candidates(
         &self,
         key: KeyHash,
         kind: Option<KindId>,
-        near: Option<bool>,
+        same_zone: Option<bool>,
     ) -> impl Iterator<Item = &Candidate> + '_ {
-        let zones = [true, false].into_iter().filter(move |zone| near.is_none_or(|near| near == *zone));
+        let zones = [true, false]
+            .into_iter()
+            .filter(move |zone| same_zone.is_none_or(|same_zone| same_zone == *zone));
         let parts = zones.filter_map(move |zone| self.partitions.get(&(zone, kind)));
         let parts = parts.flat_map(move |parts| parts.of(key));
         parts.flat_map(|part| &part.workers)
     }
-    /// A number that is another one after each change of a key's candidates.
+    /// Versions of a key's candidates in the own zone and in other zones. Each change of the candidates changes them.
     pub fn order_version(&self, key: KeyHash, kind: Option<KindId>) -> (u64, u64) {
-        let of = |near| self.partitions.get(&(near, kind)).map_or(0, |parts| parts.version(key));
-        (of(true), of(false))
+        let version =
+            |same_zone| self.partitions.get(&(same_zone, kind)).map_or(0, |parts| parts.version(key));
+        (version(true), version(false))
     }
-    /// Marks as probed, and names, the first `most` workers that have not reported since `since`.
+    /// Marks the first `limit` of the given workers that have not reported since `since` as being probed, and returns
+    /// their names.
     pub fn start_probes<'a>(
         &mut self,
-        of: impl Iterator<Item = &'a WorkerId>,
+        workers: impl Iterator<Item = &'a WorkerId>,
         since: Time,
-        most: usize,
+        limit: usize,
     ) -> Vec<Name> {
-        let mut named = Vec::new();
-        for id in of {
+        let mut names = Vec::new();
+        for id in workers {
             let stale = |w: &&mut Worker| {
                 w.in_service && !w.probe_pending && w.reported_at.is_none_or(|at| at < since)
             };
-            if let Some(w) = self.by_id.get_mut(id).filter(|w| named.len() < most && stale(w)) {
+            if let Some(w) = self.by_id.get_mut(id).filter(|w| names.len() < limit && stale(w)) {
                 w.probe_pending = true;
-                named.push(w.name.clone());
+                names.push(w.name.clone());
             }
         }
-        named
+        names
     }
-    /// A probe of this worker came back.
+    /// Records the end of a probe, and returns the worker if it is known.
     pub fn on_probed(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.find(name)?;
         self.by_id.get_mut(&id)?.probe_pending = false;
         self.remove_if_idle(id);
         Some(id)
     }
-    /// Forgets a worker that is not listed and owes no outcome.
+    /// Drops a worker that is not listed and has neither pending attempts nor a pending probe.
     pub fn remove_if_idle(&mut self, id: WorkerId) {
         if self
             .by_id
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions of the dispatcher: which log worker, when again, what is refused. No I/O, no clock, no wire.
+//! The decisions of a request dispatcher: which log worker gets a request, when it is sent again, and what is
+//! refused. The crate does no I/O, reads no clock and knows no wire format.
 //!
-//! A host feeds [`Event`]s to a [`Dispatcher`] and carries out the [`Action`]s it pushes.
+//! A host passes [`Event`]s to a [`Dispatcher`] and carries out the [`Action`]s that it returns.
 
 #[cfg(test)]
 extern crate self as rookspoke_decisions;
@@ -8,7 +9,6 @@
 mod admission;
 mod api;
 mod dispatcher;
-mod figures;
 mod fleet;
 mod health;
 mod list_age;
@@ -18,6 +18,7 @@
 mod retry;
 mod slow_start;
 mod worker;
+mod worker_counts;
 
 pub use api::*;
 pub use dispatcher::Dispatcher;
