--- a/crates/decisions/src/worker.rs
+++ b/crates/decisions/src/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of one worker: plain figures, no thresholds, no choosing.
+//! The state of one worker as one dispatcher knows it. Thresholds and decisions are elsewhere.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -6,12 +6,12 @@
 use crate::partitions::Candidate;
 use crate::requests::{DedupGroup, Job};
 
-/// A worker's number at one dispatcher; never reused.
+/// Identifies a worker within one dispatcher. Ids are never reused.
 pub type WorkerId = u32;
-/// A stable hash of a key and the kind of machine it needs.
+/// A stable hash of a key and the machine kind that it requires.
 pub type KeyHash = u64;
 
-/// A sum whose parts fade with their age.
+/// A sum whose terms decay exponentially with their age.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
     value: f64,
@@ -19,19 +19,19 @@
 }
 
 impl DecayingSum {
-    /// Adds `more` to what is left of the sum at `now`, and returns it.
-    pub fn add(&mut self, now: Time, over: Span, more: f64) -> f64 {
-        self.value = self.level(now, over) + more;
+    /// Decays the sum to `now`, adds `amount` and returns the result. `decay` is the time constant.
+    pub fn add(&mut self, now: Time, decay: Span, amount: f64) -> f64 {
+        self.value = self.level(now, decay) + amount;
         self.at = now;
         self.value
     }
-    /// What is left of the sum at `now`.
-    pub fn level(&self, now: Time, over: Span) -> f64 {
-        self.value * (-(now - self.at).secs() / over.secs()).exp()
+    /// The sum decayed to `now`.
+    pub fn level(&self, now: Time, decay: Span) -> f64 {
+        self.value * (-(now - self.at).secs() / decay.secs()).exp()
     }
 }
 
-/// A bucket that fills at a steady rate; full at first.
+/// A token bucket. It is full at first.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenBucket {
     tokens: Option<f64>,
@@ -39,35 +39,39 @@
 }
 
 impl TokenBucket {
-    /// What it holds now.
+    /// Refills the bucket up to `now` and returns the tokens that it holds.
     pub fn level(&mut self, now: Time, rate: f64, depth: f64) -> f64 {
         let tokens = self.tokens.map_or(depth, |tokens| (tokens + rate * (now - self.at).secs()).min(depth));
         (self.tokens, self.at) = (Some(tokens), now);
         tokens
     }
-    pub fn add(&mut self, more: f64) {
-        self.tokens = self.tokens.map(|tokens| tokens + more);
+    /// Adds tokens, or takes them if `amount` is negative.
+    pub fn add(&mut self, amount: f64) {
+        self.tokens = self.tokens.map(|tokens| tokens + amount);
     }
 }
 
-/// Of a key's candidates, near ones and others, and of the reserved parts: what an order was made from.
+/// What a key's order was computed from: the versions of its candidates in the own zone and in other zones, and the
+/// version of the reserved fractions.
 pub type OrderVersion = ((u64, u64), u64);
 
-/// The paper's T[key], and what decides its size.
+/// The paper's T[key], the workers assigned to a key, with the orders that it grows along and the demand that decides
+/// its size.
 #[derive(Default)]
 pub struct TableEntry {
     pub workers: Vec<WorkerId>,
-    /// The first eligible workers of the own zone in the key's stable order, as of `same_zone_version`.
+    /// The key's first workers in its rendezvous order, as of `same_zone_version`: those of the own zone, or of all
+    /// zones where keys span zones.
     pub same_zone: Vec<WorkerId>,
     pub same_zone_version: OrderVersion,
-    /// Those of other zones, as of `cross_zone_version`: most jobs never need them.
+    /// The same of other zones, as of `cross_zone_version`. Computed on demand, since most jobs never need them.
     pub cross_zone: Vec<WorkerId>,
     pub cross_zone_version: OrderVersion,
-    /// Slot-seconds served to this dispatcher: what clients repeat after refusals must not count.
+    /// Slot-seconds served to this dispatcher. Requests that clients repeat after refusals must not count.
     pub demand: DecayingSum,
 }
 
-/// The paper's three states of a worker.
+/// The paper's three states of a worker, by its load.
 #[derive(Clone, Copy, PartialEq)]
 pub enum State {
     Free,
@@ -85,49 +89,52 @@
     pub cell: Option<u64>,
     pub weight: f64,
     pub started: Option<Time>,
-    /// The start that the list tells of.
+    /// The start that the list states. `started` may be later after a manual ejection.
     pub listed_start: Option<Time>,
-    /// What the own list says.
+    /// The state in this dispatcher's list.
     pub readiness: Readiness,
-    /// In service by the own list, and not taken out by hand.
+    /// In service by this dispatcher's list and not manually ejected.
     pub in_service: bool,
-    /// Slots learned from reports.
+    /// Slots inferred from reports.
     pub learned_slots: Option<f64>,
-    /// Own slots in use and jobs out, now.
+    /// Slots in use by this dispatcher's pending attempts.
     pub own_slots: f64,
+    /// This dispatcher's pending attempts.
     pub own_jobs: u32,
-    /// Own slots in use, smoothed over time up to `own_slots_at`.
+    /// `own_slots` smoothed over time, as of `own_slots_at`.
     own_slots_smoothed: f64,
     own_slots_at: Time,
-    /// Slots in use by others, averaged over reports and own waits; none before the first.
+    /// Slots in use by other dispatchers: a moving average over reports and over the waits of own jobs. None before
+    /// the first of these.
     pub other_slots: Option<f64>,
-    /// When these were last judged.
+    /// When `other_slots` was last updated.
     pub other_slots_at: Option<Time>,
-    /// When own attempts were sent that have not started yet.
+    /// Send times of own attempts that have not started yet.
     pub unstarted: Vec<Time>,
     pub reported_at: Option<Time>,
     pub free_memory: Option<f64>,
-    /// Recent own jobs per key, fading.
+    /// Decaying counts of own jobs per key.
     keys: Vec<(KeyHash, DecayingSum)>,
     pub full_until: Time,
     pub consecutive_failures: u32,
-    /// Jobs that ended in its own error, and that it served, fading: own ones, and what its reports tell.
+    /// Decaying counts of jobs that ended in an error of the worker, and of jobs that it served: own jobs, and those
+    /// in its reports.
     errors: DecayingSum,
     served: DecayingSum,
     pub ejected_until: Time,
     pub probe_pending: bool,
-    /// The last of this dispatcher's turns that was spent while the worker was cold.
+    /// The last of this dispatcher's turns that was used during the worker's slow start.
     pub last_turn: i64,
 }
 
 impl Worker {
-    /// One that the list names for the first time.
-    pub fn new(entry: &Listing, s: &Settings, now: Time) -> Self {
+    /// Creates the state of a worker that the list contains for the first time.
+    pub fn new(entry: &Listing, settings: &Settings, now: Time) -> Self {
         Worker {
             name: entry.worker.clone(),
             name_hash: xxh3_64(entry.worker.as_bytes()),
-            kind: s.kinds.iter().position(|k| *k == entry.kind).map(KindId),
-            same_zone: entry.zone == s.zone,
+            kind: settings.kinds.iter().position(|kind| *kind == entry.kind).map(KindId),
+            same_zone: entry.zone == settings.zone,
             zone: entry.zone.clone(),
             cell: entry.cell,
             weight: entry.weight,
@@ -155,11 +162,12 @@
             last_turn: i64::MIN,
         }
     }
-    /// Where its fleet files it: for jobs that run anywhere, and for those that need its kind.
+    /// The partition sets of the fleet that contain it: the one for jobs that run anywhere, and the one for jobs that
+    /// require its kind.
     pub fn partitions(&self) -> [(bool, Option<KindId>); 2] {
         [(self.same_zone, None), (self.same_zone, Some(self.kind.unwrap_or(KindId(usize::MAX))))]
     }
-    /// Its process restarted: what was learned of the earlier one is void.
+    /// Resets what was learned of the previous process after a restart.
     pub fn restart(&mut self, started: Option<Time>, now: Time) {
         (self.started, self.last_turn, self.consecutive_failures) = (started, i64::MIN, 0);
         (self.reported_at, self.full_until, self.ejected_until) = (None, now, now);
@@ -167,7 +175,7 @@
         (self.errors, self.served) = (DecayingSum::default(), DecayingSum::default());
         self.keys.clear();
     }
-    /// Who shares what it remembers of a keyed request.
+    /// The workers that recognise a repeat of a request that this worker has received.
     pub fn dedup_group(&self, id: WorkerId, effect: Effect) -> DedupGroup {
         match effect {
             Effect::Keyed { group: Group::Zone, .. } => DedupGroup::Zone(self.zone.clone()),
@@ -177,107 +185,117 @@
             _ => DedupGroup::All,
         }
     }
-    /// The least part of its capacity that it has by now.
+    /// The fraction of its capacity that it has at least by now: below 1 during slow start.
     pub fn capacity_fraction(&self, rules: &Rules, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let part = (now - started).secs() / rules.ramp.secs().max(1e-6);
-        (rules.initial_capacity + (1.0 - rules.initial_capacity) * part.max(0.0)).min(1.0)
+        let elapsed = (now - started).secs() / rules.ramp.secs().max(1e-6);
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * elapsed.max(0.0)).min(1.0)
     }
-    /// What the orders of keys need to know of it.
+    /// The data that the orders of keys are computed from.
     pub(crate) fn candidate(&self, id: WorkerId) -> Candidate {
         Candidate { id, hash: self.name_hash, weight: self.weight, kind: self.kind }
     }
-    /// Own slots in use, smoothed up to `now`.
-    pub fn smoothed_own_slots(&mut self, now: Time, over: Span) -> f64 {
-        let part = (-(now - self.own_slots_at).secs() / over.secs()).exp();
-        self.own_slots_smoothed = self.own_slots + (self.own_slots_smoothed - self.own_slots) * part;
+    /// Updates and returns the smoothed value of `own_slots`. `decay` is the time constant.
+    pub fn smoothed_own_slots(&mut self, now: Time, decay: Span) -> f64 {
+        let weight = (-(now - self.own_slots_at).secs() / decay.secs()).exp();
+        self.own_slots_smoothed = self.own_slots + (self.own_slots_smoothed - self.own_slots) * weight;
         self.own_slots_at = now;
         self.own_slots_smoothed
     }
-    /// Moves the count of others' slots towards `seen`; the first time it is taken as it is.
-    pub fn blend_other_slots(&mut self, seen: f64, gain: f64, now: Time) {
-        let old = self.other_slots.unwrap_or(seen);
-        self.other_slots = Some(old + (seen - old) * gain);
+    /// Includes `observed` in the moving average of `other_slots` with the weight `gain`. The first value is taken as
+    /// it is.
+    pub fn blend_other_slots(&mut self, observed: f64, gain: f64, now: Time) {
+        let old = self.other_slots.unwrap_or(observed);
+        self.other_slots = Some(old + (observed - old) * gain);
         self.other_slots_at = Some(now);
     }
-    /// Learns its slots from a report; returns the slots in use, with the queue. Behind a report
-    /// of no free slots that tells of no queue, one of `hidden` parts of the slots is taken for likely.
-    pub fn learn_from_report(&mut self, load: LoadReport, hidden: f64, unknown: f64) -> Option<f64> {
+    /// Infers the worker's slots from a report, and returns the slots in use including the queue. A report of no free
+    /// slots that states no queue is taken to hide one of `hidden_queue` times the slots. `default_slots` stands in
+    /// until slots are known.
+    pub fn learn_from_report(
+        &mut self,
+        load: LoadReport,
+        hidden_queue: f64,
+        default_slots: f64,
+    ) -> Option<f64> {
         if let Some(free) = load.free_slots {
             let held = load.inflight.filter(|_| free >= 1.0).unwrap_or(0.0);
             self.learned_slots = Some(self.learned_slots.unwrap_or(1.0).max((free + held).round()));
         }
-        let all = self.learned_slots.unwrap_or(unknown);
-        let running = load.free_slots.map(|f| (all - f).max(0.0)).or(load.util.map(|u| u * all));
-        let hides = load.free_slots.is_some_and(|f| f < 0.5);
-        let queue = load.queue.unwrap_or(if hides { hidden * all } else { 0.0 });
+        let slots = self.learned_slots.unwrap_or(default_slots);
+        let running = load.free_slots.map(|free| (slots - free).max(0.0));
+        let running = running.or(load.util.map(|util| util * slots));
+        let no_free_slot = load.free_slots.is_some_and(|free| free < 0.5);
+        let queue = load.queue.unwrap_or(if no_free_slot { hidden_queue * slots } else { 0.0 });
         self.free_memory = load.free_memory;
-        load.inflight.or(running.map(|r| r + queue)).or(load.queue)
+        load.inflight.or(running.map(|running| running + queue)).or(load.queue)
     }
-    /// Counts jobs that ended there in its own error, and that it served.
-    pub fn count_outcomes(&mut self, now: Time, over: Span, errors: f64, served: f64) {
-        self.errors.add(now, over, errors);
-        self.served.add(now, over, served);
+    /// Counts jobs that ended in an error of the worker, and jobs that it served.
+    pub fn count_outcomes(&mut self, now: Time, decay: Span, errors: f64, served: f64) {
+        self.errors.add(now, decay, errors);
+        self.served.add(now, decay, served);
     }
-    /// Its recent errors.
-    pub fn error_count(&self, now: Time, over: Span) -> f64 {
-        self.errors.level(now, over)
+    /// The decayed number of its errors.
+    pub fn error_count(&self, now: Time, decay: Span) -> f64 {
+        self.errors.level(now, decay)
     }
-    /// The part that these are of its recent jobs, if it served one more.
-    pub fn error_ratio(&self, now: Time, over: Span) -> f64 {
-        let errors = self.error_count(now, over);
-        errors / (errors + self.served.level(now, over) + 1.0)
+    /// The decayed ratio of errors to jobs, with one more served job assumed.
+    pub fn error_ratio(&self, now: Time, decay: Span) -> f64 {
+        let errors = self.error_count(now, decay);
+        errors / (errors + self.served.level(now, decay) + 1.0)
     }
-    pub fn has_unstarted_job(&self, now: Time, least: Span) -> bool {
-        self.unstarted.first().is_some_and(|at| now - *at > least)
+    /// Whether an own attempt has waited for its start for longer than `limit`.
+    pub fn has_unstarted_job(&self, now: Time, limit: Span) -> bool {
+        self.unstarted.first().is_some_and(|at| now - *at > limit)
     }
-    /// Whether a job of this size can run here at all.
+    /// Whether the worker has the slots and the free memory that a job needs.
     pub fn fits(&self, job: &Job) -> bool {
-        let small = self.learned_slots.is_some_and(|slots| slots < job.slots);
-        !small && self.free_memory.is_none_or(|free| free >= job.memory)
+        let too_small = self.learned_slots.is_some_and(|slots| slots < job.slots);
+        !too_small && self.free_memory.is_none_or(|free| free >= job.memory)
     }
-    /// An own job went out.
-    pub fn on_sent(&mut self, now: Time, slots: f64, over: Span) {
-        self.smoothed_own_slots(now, over);
+    /// Records that an attempt was sent. `decay` is the time constant for smoothing the own slots.
+    pub fn on_sent(&mut self, now: Time, slots: f64, decay: Span) {
+        self.smoothed_own_slots(now, decay);
         self.own_slots += slots;
         self.own_jobs += 1;
         self.unstarted.push(now);
     }
-    /// It came back.
-    pub fn on_ended(&mut self, now: Time, sent: Time, slots: f64, over: Span) {
-        self.smoothed_own_slots(now, over);
+    /// Records that the attempt sent at `sent` has ended.
+    pub fn on_ended(&mut self, now: Time, sent: Time, slots: f64, decay: Span) {
+        self.smoothed_own_slots(now, decay);
         self.own_slots = (self.own_slots - slots).max(0.0);
         self.own_jobs = self.own_jobs.saturating_sub(1);
         self.on_started(sent);
     }
-    /// The own job sent at `sent` waits no more.
+    /// Records that the attempt sent at `sent` has started.
     pub fn on_started(&mut self, sent: Time) {
-        if let Some(at) = self.unstarted.iter().position(|at| *at == sent) {
-            self.unstarted.remove(at);
+        if let Some(index) = self.unstarted.iter().position(|at| *at == sent) {
+            self.unstarted.remove(index);
         }
     }
-    /// Counts `more` jobs of `key` and drops keys whose count has faded below `least`.
-    pub fn count_key(&mut self, key: KeyHash, more: f64, now: Time, over: Span, least: f64) {
+    /// Adds `amount` to the count of jobs of `key`, and drops keys whose decayed count is below `min_count`.
+    pub fn count_key(&mut self, key: KeyHash, amount: f64, now: Time, decay: Span, min_count: f64) {
         if !self.keys.iter().any(|(k, _)| *k == key) {
             self.keys.push((key, DecayingSum { value: 0.0, at: now }));
         }
         for (k, count) in &mut self.keys {
-            count.add(now, over, if *k == key { more } else { 0.0 });
+            count.add(now, decay, if *k == key { amount } else { 0.0 });
         }
-        self.keys.retain(|(_, count)| count.value >= least);
+        self.keys.retain(|(_, count)| count.value >= min_count);
     }
-    /// How many keys run here more often than `key`; `None` when it is not among them.
+    /// The number of keys that run here more often than `key`, ties decided by the hash. None if `key` is not
+    /// tracked.
     pub fn key_rank(&self, key: KeyHash) -> Option<usize> {
         let own = self.keys.iter().find(|(k, _)| *k == key)?.1.value;
         Some(self.keys.iter().filter(|(k, c)| c.value > own || (c.value == own && *k < key)).count())
     }
 }
 
-/// The chance to wait longer than `runs` mean runs in a queue before `slots` servers that are used to
-/// the part `used`, by Sakasegawa's estimate.
-pub fn wait_probability(slots: f64, used: f64, runs: f64) -> f64 {
+/// The probability of a wait longer than `runs` mean run times in the queue of `slots` servers with the given
+/// utilization, by Sakasegawa's approximation.
+pub fn wait_probability(slots: f64, utilization: f64, runs: f64) -> f64 {
     if runs <= 0.0 {
         return 1.0;
     }
-    used.powf((2.0 * (slots + 1.0)).sqrt() - 1.0) * (-(1.0 - used) * slots * runs).exp()
+    utilization.powf((2.0 * (slots + 1.0)).sqrt() - 1.0) * (-(1.0 - utilization) * slots * runs).exp()
 }
