--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -174,7 +174,7 @@
             .into_iter()
             .filter(move |zone| same_zone.is_none_or(|same_zone| same_zone == *zone));
         let parts = zones.filter_map(move |zone| self.partitions.get(&(zone, kind)));
-        let parts = parts.flat_map(move |parts| parts.of(key));
+        let parts = parts.flat_map(move |parts| parts.for_key(key));
         parts.flat_map(|part| &part.workers)
     }
     /// Versions of a key's candidates in the own zone and in other zones. Each change of the candidates changes them.
--- a/crates/decisions/src/fleet/tests.rs
+++ b/crates/decisions/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! The order of the workers in service, over lists and bans.
+//! The order of the workers in service after any sequence of lists and manual ejections.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -10,7 +10,7 @@
 
 use super::*;
 
-/// A list, or who is out by hand.
+/// A list update, or a new set of manually ejected workers.
 #[derive(Clone, Debug)]
 enum Step {
     List(ListScope, Vec<(usize, Readiness)>),
@@ -20,7 +20,7 @@
 fn step() -> impl Strategy<Value = Step> {
     let readiness = prop_oneof![3 => Just(Readiness::InService), 1 => Just(Readiness::Draining), 1 => Just(Readiness::Gone)];
     let scope = prop_oneof![3 => Just(ListScope::Changes), 1 => Just(ListScope::Complete)];
-    // Some name a worker more than once.
+    // Some lists contain a worker more than once.
     let entries = proptest::collection::vec((0usize..60, readiness), 0..80);
     prop_oneof![
         4 => (scope, entries).prop_map(|(scope, entries)| Step::List(scope, entries)),
@@ -30,10 +30,10 @@
 
 proptest! {
     #[test]
-    fn those_in_service_are_there_once_each_in_the_order_of_their_names(
+    fn workers_in_service_are_kept_once_each_in_the_order_of_their_names(
         steps in proptest::collection::vec(step(), 1..12),
     ) {
-        let (s, now) = (settings(&[Effect::Safe]), Time::from_ms(1e6));
+        let (settings, now) = (settings(&[Effect::Safe]), Time::from_ms(1e6));
         let (mut fleet, mut listed, mut banned) = (Fleet::default(), BTreeMap::new(), BTreeSet::new());
         for step in steps {
             match step {
@@ -43,7 +43,7 @@
                     }
                     listed.extend(entries.iter().copied());
                     let entry = |(at, readiness): &(usize, Readiness)| Listing { readiness: *readiness, ..listing(*at) };
-                    fleet.apply_list(scope, &entries.iter().map(entry).collect::<Vec<_>>(), &s, now);
+                    fleet.apply_list(scope, &entries.iter().map(entry).collect::<Vec<_>>(), &settings, now);
                 }
                 Step::Bans(bans) => {
                     let ban = |at: &usize| Ban { worker: listing(*at).worker, since: now };
@@ -54,8 +54,8 @@
             let in_service = listed.iter().filter(|(at, r)| **r == Readiness::InService && !banned.contains(*at));
             let mut expected: Vec<Name> = in_service.map(|(at, _)| listing(*at).worker).collect();
             expected.sort();
-            let ready: Vec<Name> = fleet.in_service.iter().map(|id| fleet.get(*id).expect("a worker").name.clone()).collect();
-            prop_assert_eq!(ready, expected);
+            let in_order: Vec<Name> = fleet.in_service.iter().map(|id| fleet.get(*id).expect("a worker").name.clone()).collect();
+            prop_assert_eq!(in_order, expected);
         }
     }
 }
--- a/crates/decisions/src/partitions.rs
+++ b/crates/decisions/src/partitions.rs
@@ -1,137 +1,141 @@
-//! Workers in service, in partitions by the hashes of their names.
+//! The workers in service, partitioned by the hashes of their names.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::api::KindId;
 use crate::worker::{KeyHash, WorkerId};
 
-/// Workers of a partition, at the mean of a fleet that has more than `PARTITIONS_PER_KEY` parts.
+/// Mean number of workers per partition in a fleet of more than `PARTITIONS_PER_KEY` partitions.
 const PARTITION_SIZE: usize = 64;
-/// Parts that a key looks into. A fleet of no more parts than this is looked through whole.
+/// Number of partitions that a key's candidates come from. In a fleet of at most this many partitions all workers are
+/// candidates.
 const PARTITIONS_PER_KEY: usize = 4;
 
-/// Above any error of rounding in a comparison of ranks.
+/// Factor above any rounding error in a comparison of ranks.
 const ROUNDING: f64 = 1.0 + 1e-9;
 
-/// What a key's order needs to know of a worker: kept here, so that ranking hundreds of them reads one array and does
-/// not go through the table of all workers.
+/// The data of a worker that a key's order is computed from. Copied here so that ranking hundreds of workers reads
+/// one array and does not look each of them up in the table of all workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Candidate {
     pub(crate) id: WorkerId,
-    /// Of its name.
+    /// The hash of its name.
     pub(crate) hash: u64,
     pub(crate) weight: f64,
     pub(crate) kind: Option<KindId>,
 }
 
 impl Candidate {
-    /// A number between 0 and 1 that depends on the key and the worker's name alone.
+    /// A pseudo-random number between 0 and 1 that depends only on the key and the worker's name.
     fn draw(&self, key: KeyHash) -> f64 {
         let mixed = xxh3_64_with_seed(&self.hash.to_le_bytes(), key) >> 11;
         (mixed as f64 + 0.5) / (1u64 << 53) as f64
     }
 }
 
-/// The `most` workers that come first for a key: those of the lowest `-ln(draw) / weight`, an exponential draw over the
-/// weight (weighted rendezvous hashing).
+/// The first `limit` workers of a key's order: those with the lowest rank `-ln(draw) / weight`, an exponentially
+/// distributed draw divided by the weight (weighted rendezvous hashing).
 pub(crate) fn first_for_key<'a>(
     key: KeyHash,
     candidates: impl Iterator<Item = &'a Candidate>,
     weight: impl Fn(&Candidate) -> f64,
-    most: usize,
+    limit: usize,
 ) -> Vec<WorkerId> {
-    let mut first: Vec<(f64, WorkerId)> = Vec::with_capacity(most + 1);
+    let mut first: Vec<(f64, WorkerId)> = Vec::with_capacity(limit + 1);
     for candidate in candidates {
         let (draw, weight) = (candidate.draw(key), weight(candidate));
-        let last = if first.len() < most { f64::INFINITY } else { first[most - 1].0 };
-        // Most need no logarithm, nor a division: 1 - draw is never more than -ln(draw).
+        let last = if first.len() < limit { f64::INFINITY } else { first[limit - 1].0 };
+        // Skips most candidates without a logarithm or a division, since 1 - draw is never more than -ln(draw).
         if 1.0 - draw > last * weight * ROUNDING {
             continue;
         }
         let rank = -draw.ln() / weight;
-        let place = first.partition_point(|(other, _)| *other <= rank);
-        if place < most {
-            first.truncate(most - 1);
-            first.insert(place, (rank, candidate.id));
+        let index = first.partition_point(|(other, _)| *other <= rank);
+        if index < limit {
+            first.truncate(limit - 1);
+            first.insert(index, (rank, candidate.id));
         }
     }
     first.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Workers in service, split into parts by their names' hashes: the order of a key in a large fleet is taken from
-/// the few parts that the key's own hash names, so that it costs no more than in a small one. The number of parts is
-/// a power of two; when it doubles, each part splits, and half of what a key had looked at stays.
+/// The workers in service, partitioned by the hashes of their names. In a large fleet the candidates of a key come
+/// from a few partitions that the key's hash selects, so that computing its order costs no more than in a small
+/// fleet. The number of partitions is a power of two; when it doubles, each partition splits, and half of a key's
+/// candidates stay.
 #[derive(Default)]
 pub(crate) struct Partitions {
     parts: Vec<Partition>,
     count: usize,
-    /// Grows with each change of the number of parts.
-    splits: u64,
+    /// Incremented with each change of the number of partitions.
+    resizes: u64,
 }
 
 #[derive(Clone, Default)]
 pub(crate) struct Partition {
     pub(crate) workers: Vec<Candidate>,
-    /// Counts the changes.
+    /// Incremented with each change of `workers`.
     version: u64,
 }
 
 impl Partitions {
-    fn place(&self, hash: u64) -> usize {
+    /// The index of the partition that a hash belongs to.
+    fn index_of(&self, hash: u64) -> usize {
         let bits = self.parts.len().trailing_zeros();
         hash.checked_shr(u64::BITS - bits).unwrap_or(0) as usize
     }
-    fn fit(&mut self) {
+    /// Adapts the number of partitions to the number of workers.
+    fn resize(&mut self) {
         let wanted = (self.count / PARTITION_SIZE).max(1).next_power_of_two();
-        let now = self.parts.len();
-        // A fleet that grows and shrinks around a bound does not split and join each time.
-        if now > 0 && wanted <= now && wanted * 4 > now {
+        let current = self.parts.len();
+        // Hysteresis: a fleet that grows and shrinks around a bound is not split and joined each time.
+        if current > 0 && wanted <= current && wanted * 4 > current {
             return;
         }
         let all: Vec<Candidate> = self.parts.drain(..).flat_map(|part| part.workers).collect();
         self.parts = vec![Partition::default(); wanted];
-        self.splits += 1;
+        self.resizes += 1;
         for candidate in all {
-            let place = self.place(candidate.hash);
-            self.parts[place].workers.push(candidate);
+            let index = self.index_of(candidate.hash);
+            self.parts[index].workers.push(candidate);
         }
     }
     pub(crate) fn insert(&mut self, candidate: Candidate) {
         self.count += 1;
-        self.fit();
-        let place = self.place(candidate.hash);
-        self.parts[place].workers.push(candidate);
-        self.parts[place].version += 1;
+        self.resize();
+        let index = self.index_of(candidate.hash);
+        self.parts[index].workers.push(candidate);
+        self.parts[index].version += 1;
     }
     pub(crate) fn remove(&mut self, hash: u64, id: WorkerId) {
-        let place = self.place(hash);
-        let part = &mut self.parts[place];
+        let index = self.index_of(hash);
+        let part = &mut self.parts[index];
         part.workers.retain(|other| other.id != id);
         part.version += 1;
         self.count -= 1;
-        self.fit();
+        self.resize();
     }
     pub(crate) fn set_weight(&mut self, hash: u64, id: WorkerId, weight: f64) {
-        let place = self.place(hash);
-        let part = &mut self.parts[place];
+        let index = self.index_of(hash);
+        let part = &mut self.parts[index];
         part.workers.iter_mut().filter(|other| other.id == id).for_each(|other| other.weight = weight);
         part.version += 1;
     }
-    /// The parts that a key looks into: all, or `PARTITIONS_PER_KEY` different ones.
-    pub(crate) fn of(&self, key: KeyHash) -> impl Iterator<Item = &Partition> {
+    /// The partitions that a key's candidates come from: all, or `PARTITIONS_PER_KEY` different ones.
+    pub(crate) fn for_key(&self, key: KeyHash) -> impl Iterator<Item = &Partition> {
         let all = self.parts.len() <= PARTITIONS_PER_KEY;
         let mut drawn = [usize::MAX; PARTITIONS_PER_KEY];
-        for at in 0..if all { 0 } else { PARTITIONS_PER_KEY } {
-            let draws = (0u64..).map(|n| self.place(xxh3_64_with_seed(&n.to_le_bytes(), key)));
-            drawn[at] = draws.into_iter().find(|place| !drawn.contains(place)).unwrap_or(0);
+        for slot in 0..if all { 0 } else { PARTITIONS_PER_KEY } {
+            let draws = (0u64..).map(|n| self.index_of(xxh3_64_with_seed(&n.to_le_bytes(), key)));
+            drawn[slot] = draws.into_iter().find(|index| !drawn.contains(index)).unwrap_or(0);
         }
         let whole = self.parts.iter().take(if all { PARTITIONS_PER_KEY } else { 0 });
-        whole.chain(drawn.into_iter().filter_map(|place| self.parts.get(place)))
+        whole.chain(drawn.into_iter().filter_map(|index| self.parts.get(index)))
     }
-    /// A number that is another one after each change of what a key looks at.
+    /// A number that changes with each change of the partitions that a key's candidates come from.
     pub(crate) fn version(&self, key: KeyHash) -> u64 {
-        // Versions of parts begin anew with a split.
-        self.of(key).map(|part| part.version).sum::<u64>() + (self.splits << 40)
+        // The versions of partitions restart from 0 when they are resized.
+        self.for_key(key).map(|part| part.version).sum::<u64>() + (self.resizes << 40)
     }
 }
 
