--- a/crates/decisions/benches/decision.rs
+++ b/crates/decisions/benches/decision.rs
@@ -1,11 +1,12 @@
-//! What a decision costs as the fleet grows: a job asked for, sent, started and ended, with a change of the list at
-//! every hundredth job. Keys are ten times the log workers; three jobs are out for each of them at most.
+//! Cost of a decision as the fleet grows. One iteration requests, sends, starts and ends a job, with a change of the
+//! list at every hundredth job. There are ten times as many keys as log workers, and at most three pending jobs per
+//! worker.
 //!
 //! ```text
 //! cargo bench -p rookspoke-decisions
 //! ```
 
-#![allow(missing_docs)] // what the macro of the library makes
+#![allow(missing_docs)] // items that criterion_group! generates
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -14,11 +15,12 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use rookspoke_decisions::*;
 
+/// Numbers of log workers.
 const SIZES: [usize; 6] = [12, 120, 200, 1_200, 3_200, 12_000];
-/// Jobs between two changes of the list.
+/// Number of jobs between two changes of the list.
 const CHANGE_EVERY: u64 = 100;
-/// What is out at most: a dispatcher has only its own part of a large fleet.
-const MOST_OUT: usize = 300;
+/// Upper bound on the pending jobs: a dispatcher serves only its own share of a large fleet.
+const MAX_PENDING: usize = 300;
 
 fn settings() -> Settings {
     let class = Class {
@@ -67,12 +69,12 @@
     }
 }
 
-fn listing(at: usize, readiness: Readiness) -> Listing {
+fn listing(number: usize, readiness: Readiness) -> Listing {
     Listing {
-        worker: format!("w-{at:06}").into(),
+        worker: format!("w-{number:06}").into(),
         kind: "std".into(),
-        zone: if at.is_multiple_of(2) { "a" } else { "b" }.into(),
-        cell: Some(at as u64 / 8),
+        zone: if number.is_multiple_of(2) { "a" } else { "b" }.into(),
+        cell: Some(number as u64 / 8),
         started: None,
         weight: 1.0,
         readiness,
@@ -83,46 +85,53 @@
     dispatcher: Dispatcher,
     now: Time,
     workers: usize,
-    next: u64,
-    out: VecDeque<u64>,
+    last_id: u64,
+    pending: VecDeque<u64>,
     actions: Vec<Action>,
 }
 
 impl Host {
     fn new(workers: usize) -> Self {
         let dispatcher = Dispatcher::new(settings(), 7).expect("settings");
-        let mut host =
-            Host { dispatcher, now: Time(0), workers, next: 0, out: VecDeque::new(), actions: Vec::new() };
-        let entries: Vec<Listing> = (0..workers).map(|at| listing(at, Readiness::InService)).collect();
-        host.tell(Event::List { scope: ListScope::Complete, entries: Arc::from(entries) });
-        for _ in 0..20 * host.most_out().min(1000) {
-            host.job();
+        let mut host = Host {
+            dispatcher,
+            now: Time(0),
+            workers,
+            last_id: 0,
+            pending: VecDeque::new(),
+            actions: Vec::new(),
+        };
+        let entries: Vec<Listing> =
+            (0..workers).map(|number| listing(number, Readiness::InService)).collect();
+        host.handle(Event::List { scope: ListScope::Complete, entries: Arc::from(entries) });
+        for _ in 0..20 * host.max_pending().min(1000) {
+            host.run_job();
         }
         host
     }
 
-    fn most_out(&self) -> usize {
-        (3 * self.workers).min(MOST_OUT)
+    fn max_pending(&self) -> usize {
+        (3 * self.workers).min(MAX_PENDING)
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.dispatcher.handle(self.now, event, &mut self.actions);
     }
 
-    /// One job in, and the oldest one out.
-    fn job(&mut self) {
-        self.next += 1;
+    /// Submits one job and, once `max_pending` are pending, completes the oldest.
+    fn run_job(&mut self) {
+        self.last_id += 1;
         self.now = self.now + Span(2_000);
-        if self.next.is_multiple_of(CHANGE_EVERY) {
-            // One that leaves, and the one that left before comes back.
-            let at = (self.next / CHANGE_EVERY) as usize % self.workers;
-            let before = (at + self.workers - 1) % self.workers;
-            let entries = [listing(at, Readiness::Draining), listing(before, Readiness::InService)];
-            self.tell(Event::List { scope: ListScope::Changes, entries: Arc::new(entries) });
+        if self.last_id.is_multiple_of(CHANGE_EVERY) {
+            // One worker leaves, and the one that left before returns.
+            let leaving = (self.last_id / CHANGE_EVERY) as usize % self.workers;
+            let returning = (leaving + self.workers - 1) % self.workers;
+            let entries = [listing(leaving, Readiness::Draining), listing(returning, Readiness::InService)];
+            self.handle(Event::List { scope: ListScope::Changes, entries: Arc::new(entries) });
         }
-        let key = self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (10 * self.workers as u64);
-        let id = RequestId(self.next);
-        self.tell(Event::Request(Request {
+        let key = self.last_id.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (10 * self.workers as u64);
+        let id = RequestId(self.last_id);
+        self.handle(Event::Request(Request {
             idempotency_hash: None,
             id,
             class: ClassId(0),
@@ -136,13 +145,13 @@
         let sent = self.actions.iter().any(|a| matches!(a, Action::Send { request, .. } if *request == id));
         self.actions.clear();
         if sent {
-            self.tell(Event::AttemptUpdate { request: id, attempt: 0, update: AttemptUpdate::Started });
-            self.out.push_back(self.next);
+            self.handle(Event::AttemptUpdate { request: id, attempt: 0, update: AttemptUpdate::Started });
+            self.pending.push_back(self.last_id);
         }
-        if self.out.len() >= self.most_out() {
-            let Some(oldest) = self.out.pop_front() else { return };
+        if self.pending.len() >= self.max_pending() {
+            let Some(oldest) = self.pending.pop_front() else { return };
             let load = Some(LoadReport { free_slots: Some(3.0), ..LoadReport::default() });
-            self.tell(Event::Outcome(AttemptEnd {
+            self.handle(Event::Outcome(AttemptEnd {
                 request: RequestId(oldest),
                 attempt: 0,
                 outcome: Outcome::Served,
@@ -156,11 +165,11 @@
     }
 }
 
-fn decisions(c: &mut Criterion) {
-    let mut group = c.benchmark_group("decision");
+fn decisions(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("decision");
     for workers in SIZES {
         let mut host = Host::new(workers);
-        group.bench_function(BenchmarkId::from_parameter(workers), |b| b.iter(|| host.job()));
+        group.bench_function(BenchmarkId::from_parameter(workers), |bencher| bencher.iter(|| host.run_job()));
     }
     group.finish();
 }
