--- a/crates/rookspoke/src/cli.rs
+++ b/crates/rookspoke/src/cli.rs
@@ -1,115 +1,115 @@
-//! The command line.
+//! Definition of the command line, and the exit statuses.
 
 use std::path::PathBuf;
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 
-/// Everything went well.
+/// Exit status of a command that succeeded.
 pub const OK: u8 = 0;
-/// Something failed while it ran.
+/// Exit status after a failure at run time.
 pub const FAILED: u8 = 1;
-// 2 is the argument library's own, for a command line that makes no sense.
-/// The configuration makes no sense.
+// 2 is reserved: clap exits with it when the command line is invalid.
+/// Exit status for an invalid configuration.
 pub const BAD_CONFIG: u8 = 3;
-/// No daemon answers.
+/// Exit status of `status` when no daemon answered on the control socket.
 pub const NO_DAEMON: u8 = 4;
 
-const AFTER: &str = "\
-Exit status: 0 all went well; 1 a failure while running; 2 a command line that makes no sense; 3 a configuration \
-that makes no sense; 4 no daemon answers.
+const AFTER_HELP: &str = "\
+Exit status: 0 success; 1 failure at run time; 2 invalid command line; 3 invalid configuration; 4 no daemon answered \
+on the control socket.
 
-Without a command, rookspoke serves as its environment says: PROXY_CONFIG names the platform's JSON, and PROXY_NAME, \
-PROXY_LISTEN and PROXY_DISCOVERY go before what it says. ROOKSPOKE_LOG goes before `log level`.";
+Without a command, rookspoke runs `serve`. PROXY_CONFIG is the path of the platform's JSON configuration; PROXY_NAME, \
+PROXY_LISTEN and PROXY_DISCOVERY override its values. ROOKSPOKE_LOG overrides `log level`.";
 
 /// Dispatches jobs to log workers.
 #[derive(Debug, Parser)]
-#[command(name = "rookspoke", version, after_help = AFTER)]
+#[command(name = "rookspoke", version, after_help = AFTER_HELP)]
 pub struct Cli {
-    /// What to do; without a command, `serve`.
+    /// The subcommand; `serve` if there is none.
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// Where the configuration comes from.
+    /// The configuration file and overrides.
     #[command(flatten)]
-    pub from: Given,
+    pub config_args: ConfigArgs,
 }
 
-/// Where a configuration comes from.
+/// Options that select the configuration; every subcommand accepts them.
 #[derive(Args, Clone, Debug, Default)]
-pub struct Given {
-    /// The configuration file; without it, the platform's JSON that PROXY_CONFIG names
+pub struct ConfigArgs {
+    /// The configuration file; default: the platform's JSON file that PROXY_CONFIG names
     #[arg(long, short, value_name = "FILE", global = true)]
     pub config: Option<PathBuf>,
-    /// A value that goes before the file's, such as `log.level=debug`
-    #[arg(long, value_name = "KEY=VALUE", value_parser = pair, global = true)]
+    /// Override a value of the configuration file, such as `log.level=debug`
+    #[arg(long, value_name = "KEY=VALUE", value_parser = parse_assignment, global = true)]
     pub set: Vec<(String, String)>,
 }
 
-fn pair(text: &str) -> Result<(String, String), String> {
+fn parse_assignment(text: &str) -> Result<(String, String), String> {
     let (key, value) = text.split_once('=').ok_or("expected KEY=VALUE")?;
     Ok((key.trim().into(), value.trim().into()))
 }
 
-/// What to do.
+/// The subcommands of `rookspoke`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve clients until told to end
+    /// Run the dispatcher until SIGTERM
     Serve,
-    /// Read a configuration and say what holds; nothing is started
+    /// Validate a configuration file and print its values, without starting the dispatcher
     Check {
-        /// The file
+        /// The configuration file
         file: PathBuf,
     },
-    /// Look at a configuration
+    /// Inspect the configuration
     Config {
-        /// What to do with it
+        /// The subcommand of `config`
         #[command(subcommand)]
         command: ConfigCommand,
     },
-    /// Ask a running daemon how it is
+    /// Print the status of a running daemon
     Status {
-        /// Its control socket; without it, the one that the configuration names
+        /// The daemon's control socket; default: `path` of section `control` in the configuration
         #[arg(long, value_name = "PATH")]
         control: Option<PathBuf>,
-        /// Print the answer as it came
+        /// Print the daemon's JSON reply unchanged
         #[arg(long)]
         json: bool,
     },
-    /// Print a completion script
+    /// Print a shell completion script
     Completions {
-        /// For this shell
+        /// The shell to complete for
         shell: Shell,
     },
-    /// Print the manual page, or write one for each command
+    /// Print the manual page, or write a page for every command to a folder
     Man {
-        /// A folder to write them to
+        /// The folder to write the pages to
         #[arg(long, value_name = "FOLDER")]
         out: Option<PathBuf>,
     },
 }
 
-/// What to do with a configuration.
+/// The subcommands of `rookspoke config`.
 #[derive(Debug, Subcommand)]
 pub enum ConfigCommand {
-    /// Print every value and where it came from
+    /// Print every value and its origin
     Show {
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Print every keyword with its unit, default and range, as the page for operators has them
+    /// Print every keyword with its unit, default and range, in Markdown, as in docs/configuration.md
     Keywords,
 }
 
-/// Prints a completion script.
+/// Writes the completion script for `shell` to `to`.
 pub fn completions(shell: Shell, to: &mut impl std::io::Write) {
     clap_complete::generate(shell, &mut Cli::command(), "rookspoke", to);
 }
 
-/// Writes the manual: one page to `to`, or a page for each command to a folder.
+/// Writes the main manual page to `to` or, given a folder, a page for every command to that folder.
 ///
 /// # Errors
-/// As the files or the output say.
+/// The folder, a file or `to` cannot be written.
 pub fn manual(folder: Option<&PathBuf>, to: &mut impl std::io::Write) -> std::io::Result<()> {
     match folder {
         Some(folder) => {
@@ -125,7 +125,7 @@
     use super::*;
 
     #[test]
-    fn the_definition_holds_together() {
+    fn the_command_line_definition_passes_claps_checks() {
         Cli::command().debug_assert();
     }
 }
--- a/crates/rookspoke/src/control.rs
+++ b/crates/rookspoke/src/control.rs
@@ -152,7 +152,7 @@
 ///
 /// # Errors
 /// As [`AskError`] says.
-pub fn ask(path: &Path) -> Result<(Status, String), AskError> {
+pub fn request_status(path: &Path) -> Result<(Status, String), AskError> {
     let stream = UnixStream::connect(path).map_err(|error| AskError::Nobody(path.to_path_buf(), error))?;
     let broken = |why: &dyn std::fmt::Display| AskError::Broken(path.to_path_buf(), why.to_string());
     // A daemon that is busy ending may be slow.
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -17,14 +17,14 @@
 use tokio::task::JoinSet;
 
 use crate::bind;
-use crate::cli::{self, Given};
+use crate::cli::{self, ConfigArgs};
 use crate::control::{Control, ControlError, Status};
 use crate::front::Front;
 use crate::inherit::{self, InheritError};
 use crate::logging::{self, Logging};
 use crate::operators::{Bans, Fronts, Operators};
 use crate::serving::Serving;
-use crate::setup::{Setup, When};
+use crate::setup::{ReadReason, Setup};
 use crate::share::{self, Share};
 use crate::signals::Signals;
 
@@ -191,8 +191,8 @@
     }
 
     /// Reads the configuration again. One that makes no sense changes nothing.
-    async fn reload(&self, from: &Given, setup: &mut Setup) {
-        let new = match Setup::read(from, When::Again) {
+    async fn reload(&self, config_args: &ConfigArgs, setup: &mut Setup) {
+        let new = match Setup::read(config_args, ReadReason::Reload) {
             Ok(new) => new,
             Err(error) => {
                 return tracing::warn!("told to reload; the configuration stays as it is: {error}");
@@ -241,7 +241,7 @@
 /// # Errors
 /// Something that it needs cannot be had at the start.
 pub async fn run(
-    from: &Given,
+    config_args: &ConfigArgs,
     mut setup: Setup,
     logging: Arc<Logging>,
     signals: Signals,
@@ -278,7 +278,7 @@
     let code = loop {
         tokio::select! {
             _ = report.recv() => daemon.report(""),
-            _ = reload.recv() => daemon.reload(from, &mut setup).await,
+            _ = reload.recv() => daemon.reload(config_args, &mut setup).await,
             _ = ticks.tick() => logging.report(),
             Some(ended) = daemon.parts.join_next() => {
                 if let Err(error) = ended {
--- a/crates/rookspoke/src/main.rs
+++ b/crates/rookspoke/src/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's daemon, and the commands beside it.
+//! The `rookspoke` program: the dispatcher daemon and its command-line tools.
 
 mod bind;
 mod cli;
@@ -25,19 +25,19 @@
 use rookspoke_conf::{schema, Row};
 use serde_json::json;
 
-use cli::{Cli, Command, ConfigCommand, Given};
+use cli::{Cli, Command, ConfigArgs, ConfigCommand};
 use logging::Logging;
-use setup::{Setup, SetupError, When};
+use setup::{ReadReason, Setup, SetupError};
 use signals::Signals;
 
 fn main() -> ExitCode {
-    let Cli { command, from } = Cli::parse();
+    let Cli { command, config_args } = Cli::parse();
     match command {
-        None | Some(Command::Serve) => serve(&from),
-        Some(Command::Check { file }) => check(Given { config: Some(file), ..from }),
-        Some(Command::Config { command: ConfigCommand::Show { json } }) => show(&from, json),
+        None | Some(Command::Serve) => serve(&config_args),
+        Some(Command::Check { file }) => check(ConfigArgs { config: Some(file), ..config_args }),
+        Some(Command::Config { command: ConfigCommand::Show { json } }) => show(&config_args, json),
         Some(Command::Config { command: ConfigCommand::Keywords }) => print(&schema::page()),
-        Some(Command::Status { control, json }) => status(control, &from, json),
+        Some(Command::Status { control, json }) => status(control, &config_args, json),
         Some(Command::Completions { shell }) => {
             let mut text = Vec::new();
             cli::completions(shell, &mut text);
@@ -53,7 +53,7 @@
     }
 }
 
-/// Prints, and does not mind a reader who has left.
+/// Prints to standard output; a write error, such as a closed pipe, is ignored.
 fn print(text: &str) -> ExitCode {
     let _ = std::io::stdout().write_all(text.as_bytes());
     ExitCode::from(cli::OK)
@@ -68,13 +68,13 @@
     fail(cli::BAD_CONFIG, &error.render())
 }
 
-fn serve(from: &Given) -> ExitCode {
+fn serve(config_args: &ConfigArgs) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return fail(cli::FAILED, &format!("runtime: {error}\n")),
+        Err(error) => return fail(cli::FAILED, &format!("cannot start the async runtime: {error}\n")),
     };
-    // First of all: a signal that nobody listens for yet ends the process.
+    // Before everything else: the default action of a signal without a handler terminates the process.
     let signals = {
         let _context = runtime.enter();
         Signals::listen()
@@ -83,25 +83,25 @@
         Ok(signals) => signals,
         Err(error) => return fail(cli::FAILED, &format!("{error}\n")),
     };
-    let setup = match Setup::read(from, When::Start) {
+    let setup = match Setup::read(config_args, ReadReason::Start) {
         Ok(setup) => setup,
         Err(error) => return bad_config(&error),
     };
     let logging = match Logging::start(&setup.log) {
         Ok(logging) => Arc::new(logging),
-        Err(error) => return fail(cli::FAILED, &format!("log: {error}\n")),
+        Err(error) => return fail(cli::FAILED, &format!("cannot start logging: {error}\n")),
     };
-    let done = runtime.block_on(daemon::run(from, setup, logging.clone(), signals));
-    // Tasks that are left hold the logs; what is in the queue is written when the last of them lets go.
+    let exit = runtime.block_on(daemon::run(config_args, setup, logging.clone(), signals));
+    // Remaining tasks hold clones of `logging`; queued log lines are flushed when the last clone is dropped.
     drop(runtime);
-    match done {
+    match exit {
         Ok(code) => code,
         Err(error) => fail(cli::FAILED, &format!("{error}\n")),
     }
 }
 
-fn check(from: Given) -> ExitCode {
-    match Setup::read(&from, When::Start) {
+fn check(config_args: ConfigArgs) -> ExitCode {
+    match Setup::read(&config_args, ReadReason::Start) {
         Ok(setup) => {
             let mut text: String =
                 setup.resolved.warnings.iter().map(|warning| format!("warning: {warning}\n")).collect();
@@ -112,8 +112,8 @@
     }
 }
 
-fn show(from: &Given, as_json: bool) -> ExitCode {
-    let rows = match Setup::read(from, When::Start) {
+fn show(config_args: &ConfigArgs, as_json: bool) -> ExitCode {
+    let rows = match Setup::read(config_args, ReadReason::Start) {
         Ok(setup) => setup.resolved.rows(),
         Err(error) => return bad_config(&error),
     };
@@ -131,15 +131,18 @@
 }
 
 fn table(rows: &[Row]) -> String {
-    let width = |of: fn(&Row) -> usize| rows.iter().map(of).max().unwrap_or(0) + 2;
-    let (keys, values) = (width(|row| row.key.chars().count()), width(|row| row.value.chars().count()));
-    rows.iter().map(|row| format!("{:<keys$}{:<values$}{}\n", row.key, row.value, row.origin)).collect()
+    let width = |length: fn(&Row) -> usize| rows.iter().map(length).max().unwrap_or(0) + 2;
+    let key_width = width(|row| row.key.chars().count());
+    let value_width = width(|row| row.value.chars().count());
+    rows.iter()
+        .map(|row| format!("{:<key_width$}{:<value_width$}{}\n", row.key, row.value, row.origin))
+        .collect()
 }
 
-fn status(control: Option<PathBuf>, from: &Given, as_json: bool) -> ExitCode {
+fn status(control: Option<PathBuf>, config_args: &ConfigArgs, as_json: bool) -> ExitCode {
     let path = match control {
         Some(path) => path,
-        None => match Setup::read(from, When::Start) {
+        None => match Setup::read(config_args, ReadReason::Start) {
             Ok(Setup { control: Some(control), .. }) => control.path,
             Ok(_) => {
                 let text =
@@ -149,11 +152,11 @@
             Err(error) => return bad_config(&error),
         },
     };
-    ask(&path, as_json)
+    print_status(&path, as_json)
 }
 
-fn ask(path: &Path, as_json: bool) -> ExitCode {
-    match control::ask(path) {
+fn print_status(path: &Path, as_json: bool) -> ExitCode {
+    match control::request_status(path) {
         Ok((_, text)) if as_json => print(&format!("{text}\n")),
         Ok((status, _)) => print(&status.table()),
         Err(error) => fail(cli::NO_DAEMON, &format!("{error}\n")),
--- a/crates/rookspoke/src/setup.rs
+++ b/crates/rookspoke/src/setup.rs
@@ -1,4 +1,4 @@
-//! Given command line, environment and files to what each part is told.
+//! Builds the settings of every component from the command line, the environment and the configuration files.
 
 use std::hash::{BuildHasher, Hasher};
 use std::path::{Path, PathBuf};
@@ -10,38 +10,38 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use crate::cli::Given;
+use crate::cli::ConfigArgs;
 use crate::logging::{read_level, LogConfig};
 
-/// What is ours on the platform, beside its JSON.
-const OURS: &str = "deploy/rookspoke.conf";
-/// What it was before.
-const FORMER: &str = "deploy/faktory.toml";
-/// The most that the platform's JSON may hold, in bytes: the list last known, and room for the settings.
-const MAX_JSON: u64 = MAX_LIST_BYTES as u64 + 1024 * 1024;
+/// The configuration file read in addition to the platform's JSON, if it exists.
+const SUPPLEMENTARY_CONFIG: &str = "deploy/rookspoke.conf";
+/// The obsolete configuration file; its presence is an error, since its settings would be ignored silently.
+const OBSOLETE_CONFIG: &str = "deploy/faktory.toml";
+/// Maximum size of the platform's JSON in bytes: the last known list of log workers, and 1 MiB for the settings.
+const MAX_PLATFORM_JSON_BYTES: u64 = MAX_LIST_BYTES as u64 + 1024 * 1024;
 
-/// Why there is no configuration.
+/// Why the configuration could not be loaded.
 #[derive(Debug, Error)]
 pub enum SetupError {
-    /// Lines that make no sense.
+    /// Invalid lines or values, with their positions.
     #[error("{0}")]
     Problems(#[from] Box<Problems>),
-    /// A field of the platform's JSON, or a file that cannot be read.
+    /// An invalid field of the platform's JSON, or an unreadable file.
     #[error("{0}")]
     Field(#[from] ConfigError),
-    /// Nothing says where the configuration is.
+    /// Neither PROXY_CONFIG nor `--config` names a configuration.
     #[error("PROXY_CONFIG is not set and `--config FILE` is not given, expected one of them")]
-    Nothing,
-    /// A file of a form that is gone.
+    NoSource,
+    /// A configuration file of the obsolete format exists.
     #[error(
-        "found {FORMER}, expected its settings in the sections `faktory` and `vrrp` of {OURS}; \
+        "found {OBSOLETE_CONFIG}, expected its settings in the sections `faktory` and `vrrp` of {SUPPLEMENTARY_CONFIG}; \
              see docs/configuration.md"
     )]
-    Former,
+    ObsoleteFile,
 }
 
 impl SetupError {
-    /// For a person at a terminal: with the lines that are meant.
+    /// Formats the error for a terminal, with excerpts of the offending lines.
     pub fn render(&self) -> String {
         match self {
             SetupError::Problems(problems) => problems.render(),
@@ -50,54 +50,54 @@
     }
 }
 
-/// The section `control`.
+/// The configuration section `control`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ControlConfig {
-    /// Where the socket is.
+    /// The path of the control socket.
     pub path: PathBuf,
 }
 
-/// What each part is told.
+/// The settings of every component.
 #[derive(Debug)]
 pub struct Setup {
-    /// Every value, and where it came from.
+    /// Every value with its origin.
     pub resolved: Resolved,
-    /// The dispatcher.
+    /// Settings of the dispatcher.
     pub config: Config,
-    /// The Faktory front, if it is on.
+    /// Settings of the Faktory front, if it is enabled.
     pub faktory: Option<FaktoryConfig>,
-    /// The control socket, if there is one.
+    /// Settings of the control socket, if it is enabled.
     pub control: Option<ControlConfig>,
-    /// The logs.
+    /// Settings of the log.
     pub log: LogConfig,
 }
 
-/// Which values of the environment count.
+/// Why the configuration is read; decides which environment variables apply.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum When {
-    /// All: the process has just started.
+pub enum ReadReason {
+    /// The process has just started: every variable applies.
     Start,
-    /// Where discovery is, the file says: the environment is as old as the process.
-    Again,
+    /// A reload: `discovery` in the file takes precedence over PROXY_DISCOVERY, which dates from the process's start.
+    Reload,
 }
 
 impl Setup {
-    /// Reads a configuration.
+    /// Reads and validates the configuration.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
-    pub fn read(from: &Given, when: When) -> Result<Self, SetupError> {
-        let platform = match &from.config {
+    /// The configuration is missing, unreadable or invalid.
+    pub fn read(config_args: &ConfigArgs, reason: ReadReason) -> Result<Self, SetupError> {
+        let platform = match &config_args.config {
             Some(_) => None,
             None => Some(read_platform()?),
         };
-        let ours = Path::new(OURS);
-        if platform.is_some() && Path::new(FORMER).exists() {
-            return Err(SetupError::Former);
+        let supplementary_config = Path::new(SUPPLEMENTARY_CONFIG);
+        if platform.is_some() && Path::new(OBSOLETE_CONFIG).exists() {
+            return Err(SetupError::ObsoleteFile);
         }
-        let file = match &from.config {
+        let file = match &config_args.config {
             Some(path) => Some(path.as_path()),
-            None => Some(ours).filter(|path| path.exists()),
+            None => Some(supplementary_config).filter(|path| path.exists()),
         };
         let mut overrides = Vec::new();
         if let Some((tree, _)) = &platform {
@@ -109,62 +109,70 @@
                 ("PROXY_ACCEPT_FD", "accept-fd"),
                 ("TMPDIR", "state"),
             ] {
-                let file_says = tree.get(key).is_some_and(|value| !value.is_null());
-                if when == When::Again && key == "discovery" && file_says {
+                let set_in_file = tree.get(key).is_some_and(|value| !value.is_null());
+                if reason == ReadReason::Reload && key == "discovery" && set_in_file {
                     continue;
                 }
-                overrides.extend(var(variable).map(|text| quoted(variable, key, &text)));
+                overrides.extend(env_var(variable).map(|text| quoted(variable, key, &text)));
             }
         }
-        overrides.extend(var("ROOKSPOKE_LOG").map(|text| quoted("ROOKSPOKE_LOG", "log.level", &text)));
-        overrides.extend(from.set.iter().map(|(key, text)| Override {
+        overrides.extend(env_var("ROOKSPOKE_LOG").map(|text| quoted("ROOKSPOKE_LOG", "log.level", &text)));
+        overrides.extend(config_args.set.iter().map(|(key, text)| Override {
             key: key.clone(),
             text: text.clone(),
             origin: Origin::Flag,
         }));
         let resolved = compile(Input { file, platform, overrides }).map_err(Box::new)?;
-        Self::of(resolved)
+        Self::from_resolved(resolved)
     }
 
-    fn of(mut resolved: Resolved) -> Result<Self, SetupError> {
-        // A seed of its own for each start; it is no setting, and so no change at a reload.
-        let draws = resolved.tree.get("seed").is_none_or(Value::is_null);
-        if draws {
+    fn from_resolved(mut resolved: Resolved) -> Result<Self, SetupError> {
+        // Without a configured seed, each start draws its own. It is removed from the tree below, since a drawn seed is
+        // not a setting and must not show up as a change at a reload.
+        let draws_seed = resolved.tree.get("seed").is_none_or(Value::is_null);
+        if draws_seed {
             let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
             resolved.tree["seed"] = format!("{seed:016x}").into();
         }
-        let bad = |resolved: &Resolved, error: ConfigError| {
+        let problem_at = |resolved: &Resolved, error: ConfigError| {
             SetupError::Problems(Box::new(resolved.problem(&error.field, error.found)))
         };
-        let mut config = Config::from_tree(&resolved.tree).map_err(|e| bad(&resolved, e))?;
-        if draws {
+        let mut config = Config::from_tree(&resolved.tree).map_err(|e| problem_at(&resolved, e))?;
+        if draws_seed {
             resolved.tree["seed"] = Value::Null;
         }
-        let part = |field: &str| resolved.tree.get(field).cloned().filter(|value| !value.is_null());
-        let read = |field: &str, error: serde_json::Error| bad(&resolved, ConfigError::new(field, error));
-        let faktory: Option<FaktoryConfig> = part("faktory")
-            .map(|v| FaktoryConfig::deserialize(v).map_err(|e| read("faktory", e)))
+        let section = |field: &str| resolved.tree.get(field).cloned().filter(|value| !value.is_null());
+        let read_error =
+            |field: &str, error: serde_json::Error| problem_at(&resolved, ConfigError::new(field, error));
+        let faktory: Option<FaktoryConfig> = section("faktory")
+            .map(|value| FaktoryConfig::deserialize(value).map_err(|e| read_error("faktory", e)))
             .transpose()?;
-        let control: Option<ControlConfig> = part("control")
-            .map(|v| ControlConfig::deserialize(v).map_err(|e| read("control", e)))
+        let control: Option<ControlConfig> = section("control")
+            .map(|value| ControlConfig::deserialize(value).map_err(|e| read_error("control", e)))
             .transpose()?;
-        let log = LogConfig::deserialize(part("log").unwrap_or_default()).map_err(|e| read("log", e))?;
-        read_level(&log.level).map_err(|e| bad(&resolved, ConfigError::new("log.level", e)))?;
+        let log =
+            LogConfig::deserialize(section("log").unwrap_or_default()).map_err(|e| read_error("log", e))?;
+        read_level(&log.level).map_err(|e| problem_at(&resolved, ConfigError::new("log.level", e)))?;
         if let Some(faktory) = &faktory {
             if let Some(vrrp) = &faktory.vrrp {
                 vrrp.params().map_err(|e| {
-                    bad(&resolved, ConfigError { field: format!("faktory.{}", e.field), ..e })
+                    problem_at(&resolved, ConfigError { field: format!("faktory.{}", e.field), ..e })
                 })?;
             }
-            // Both fronts live on the same descriptors.
-            let left = config.limits.sockets.checked_sub(faktory.max_connections);
-            let left = left.filter(|left| *left >= Resources::LEAST);
-            config.limits.sockets = left.ok_or_else(|| {
-                let text = format!("too many for the {} of `sockets`", config.limits.sockets);
-                bad(&resolved, ConfigError::new("faktory.max_connections", text))
+            // Both fronts share one budget of file descriptors.
+            let remaining = config.limits.sockets.checked_sub(faktory.max_connections);
+            let remaining = remaining.filter(|remaining| *remaining >= Resources::LEAST);
+            config.limits.sockets = remaining.ok_or_else(|| {
+                let text = format!(
+                    "found {}, expected at least {} of the {} descriptors of `sockets` to remain for the HTTP front",
+                    faktory.max_connections,
+                    Resources::LEAST,
+                    config.limits.sockets
+                );
+                problem_at(&resolved, ConfigError::new("faktory.max_connections", text))
             })?;
         }
-        // Read for good now; it may be long.
+        // The list is in `config` now; the copy in the tree is dropped, since it can be large.
         if let Some(known) = resolved.tree.get_mut("known").filter(|_| config.known.is_some()) {
             known.take();
         }
@@ -172,11 +180,11 @@
     }
 }
 
-/// The platform's JSON, and its path.
+/// Reads the platform's JSON; returns it with its path.
 fn read_platform() -> Result<(Value, String), SetupError> {
-    let path = var("PROXY_CONFIG").ok_or(SetupError::Nothing)?;
+    let path = env_var("PROXY_CONFIG").ok_or(SetupError::NoSource)?;
     let bad = |e: &dyn std::fmt::Display| ConfigError::new("PROXY_CONFIG", format!("{path}: {e}"));
-    let text = read_bounded(Path::new(&path), MAX_JSON).map_err(|e| bad(&e))?;
+    let text = read_bounded(Path::new(&path), MAX_PLATFORM_JSON_BYTES).map_err(|e| bad(&e))?;
     let tree: Value = serde_json::from_str(&text).map_err(|e| bad(&e))?;
     if !tree.is_object() {
         return Err(bad(&"found no JSON object, expected one").into());
@@ -184,12 +192,12 @@
     Ok((tree, path))
 }
 
-/// A value of the environment is one word, whatever is in it.
+/// An override whose text is quoted, so that the value of an environment variable is read as one word.
 fn quoted(variable: &str, key: &str, text: &str) -> Override {
     let text = format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""));
     Override { key: key.into(), text, origin: Origin::Environment(variable.into()) }
 }
 
-fn var(name: &str) -> Option<String> {
-    std::env::var(name).ok().filter(|v| !v.is_empty())
+fn env_var(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
 }
