--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -76,10 +76,10 @@
 
     fn report(&self, when: &str) {
         for (front, counters) in &self.counters {
-            tracing::info!(target: logging::ASKED, "{front} counters{when}: {counters}");
+            tracing::info!(target: logging::COUNTERS, "{front} counters{when}: {counters}");
         }
         if let Some((counters, _)) = &self.vrrp {
-            tracing::info!(target: logging::ASKED, "vrrp counters{when}: {counters}");
+            tracing::info!(target: logging::COUNTERS, "vrrp counters{when}: {counters}");
         }
     }
 
@@ -181,7 +181,7 @@
                 ending: *stop.borrow(),
                 master: vrrp.as_ref().map(|(_, master)| *master.borrow()),
                 log_dropped: logging.dropped() as u64,
-                log_left_out: logging.left_out(),
+                log_left_out: logging.suppressed(),
                 counters: fronts.chain(pair).collect(),
             }
         };
@@ -274,7 +274,7 @@
         terminate.recv().await;
         stop.send_replace(true);
     });
-    let mut ticks = tokio::time::interval(logging::REPORT);
+    let mut ticks = tokio::time::interval(logging::REPORT_INTERVAL);
     let code = loop {
         tokio::select! {
             _ = report.recv() => daemon.report(""),
--- a/crates/rookspoke/src/logging.rs
+++ b/crates/rookspoke/src/logging.rs
@@ -1,6 +1,6 @@
-//! Structured logs on standard error: text or JSON, with the span of each request, levels for each part, and a
-//! bound on repeats. Lines are written by a thread of its own behind a bounded queue; where nobody reads them,
-//! they are dropped and counted, and nothing waits.
+//! Structured logs on standard error: text or JSON, with the span of each request, a level for each target and a rate
+//! limit for each call site. A separate thread writes the lines from a bounded queue. While standard error is not
+//! read, further lines are dropped and counted, so logging never blocks the dispatcher.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -15,80 +15,81 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{fmt, reload, Layer, Registry};
 
-use crate::repeats::Repeats;
+use crate::rate_limit::RateLimiter;
 
-/// The section `log` of the configuration.
+/// The configuration section `log`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct LogConfig {
-    /// How a line looks.
+    /// The format of the log lines.
     pub format: Format,
-    /// Directives for the levels of each part.
+    /// Filter directives: a level, or levels for individual targets.
     pub level: String,
-    /// The most lines a second from one place, from `info` up.
+    /// Maximum number of lines in a second from one call site, for levels `info` and above.
     pub repeats: u32,
-    /// Lines that wait to be written.
+    /// Capacity of the queue of lines to be written.
     pub queue: usize,
 }
 
-/// How a line looks.
+/// The format of the log lines.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object.
+    /// One JSON object for each line.
     Json,
 }
 
 /// Why logging could not be started or changed.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The directives make no sense.
-    #[error("found {found:?}, expected a level or directives for each part: {why}")]
+    /// Invalid filter directives.
+    #[error("found {found:?}, expected a level or `target=level` directives: {why}")]
     Level {
-        /// What was found.
+        /// The directives as given.
         found: String,
-        /// What the reader of directives says.
+        /// Why they are invalid.
         why: String,
     },
-    /// Somebody else logs in this process.
-    #[error("logging is on already: {0}")]
-    Twice(#[from] TryInitError),
+    /// A global logger has been installed before.
+    #[error("a logger is already installed in this process: {0}")]
+    AlreadyInstalled(#[from] TryInitError),
 }
 
-type Places = Arc<Mutex<Repeats<Identifier>>>;
+type SharedLimiter = Arc<Mutex<RateLimiter<Identifier>>>;
 
-/// Running logs; what is in the queue is written when it is dropped, if somebody reads.
+/// The running logger. Dropping it flushes the queue, provided that standard error is read.
 pub struct Logging {
     level: reload::Handle<EnvFilter, Registry>,
-    places: Places,
+    limiter: SharedLimiter,
     dropped: ErrorCounter,
-    reported: Mutex<usize>,
-    left_out: Mutex<u64>,
+    reported_dropped: Mutex<usize>,
+    suppressed: Mutex<u64>,
     _guard: WorkerGuard,
 }
 
-/// Reads directives such as `info,rookspoke_channel=debug`.
+/// Parses filter directives such as `info,rookspoke_channel=debug`.
 ///
 /// # Errors
-/// Says which text makes no sense.
+/// The directives are invalid.
 pub fn read_level(text: &str) -> Result<EnvFilter, LogError> {
     let bad = |why: String| LogError::Level { found: text.into(), why };
-    // A lone word that is no level would be taken for the name of a part, and turn everything else off.
-    let lone = !text.contains(['=', '[', ',']);
-    if lone && text.parse::<tracing::level_filters::LevelFilter>().is_err() {
-        return Err(bad("`error`, `warn`, `info`, `debug`, `trace` and `off` are levels".into()));
+    // `EnvFilter` takes a single word that is not a level for a target, which would turn off all other targets.
+    let single_word = !text.contains(['=', '[', ',']);
+    if single_word && text.parse::<tracing::level_filters::LevelFilter>().is_err() {
+        return Err(bad("the levels are `error`, `warn`, `info`, `debug`, `trace` and `off`".into()));
     }
     EnvFilter::try_new(text).map_err(|error| bad(error.to_string()))
 }
 
-/// Turns lines away that repeat too often. Only from `info` up: who asks for more wants to see all of it.
-struct Rarely {
-    places: Places,
+/// Suppresses events above the rate limit of their call site. Only levels `info` and above are limited: a level below
+/// that is enabled in order to see every line.
+struct RateLimitFilter {
+    limiter: SharedLimiter,
     start: Instant,
 }
 
-impl<S: Subscriber> Filter<S> for Rarely {
+impl<S: Subscriber> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -96,19 +97,19 @@
         let metadata = event.metadata();
         UNLIMITED.contains(&metadata.target())
             || *metadata.level() > Level::INFO
-            || lock(&self.places).may_write(&metadata.callsite(), self.start.elapsed())
+            || lock(&self.limiter).admit(&metadata.callsite(), self.start.elapsed())
     }
 }
 
 impl Logging {
-    /// Starts logging for the whole process.
+    /// Installs the global logger of the process.
     ///
     /// # Errors
-    /// The level makes no sense, or logging is on already.
+    /// The directives are invalid, or a logger is already installed.
     pub fn start(config: &LogConfig) -> Result<Self, LogError> {
         let (level, handle) = reload::Layer::new(read_level(&config.level)?);
-        let places: Places = Arc::new(Mutex::new(Repeats::new(config.repeats)));
-        let rarely = Rarely { places: places.clone(), start: Instant::now() };
+        let limiter: SharedLimiter = Arc::new(Mutex::new(RateLimiter::new(config.repeats)));
+        let rate_limit = RateLimitFilter { limiter: limiter.clone(), start: Instant::now() };
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
             .buffered_lines_limit(config.queue)
@@ -117,74 +118,82 @@
         let dropped = writer.error_counter();
         let layer = fmt::layer().with_writer(writer).with_ansi(false);
         let layer = match config.format {
-            Format::Text => layer.with_filter(level.and(rarely)).boxed(),
-            Format::Json => {
-                layer.json().flatten_event(true).with_span_list(false).with_filter(level.and(rarely)).boxed()
-            }
+            Format::Text => layer.with_filter(level.and(rate_limit)).boxed(),
+            Format::Json => layer
+                .json()
+                .flatten_event(true)
+                .with_span_list(false)
+                .with_filter(level.and(rate_limit))
+                .boxed(),
         };
         tracing_subscriber::registry().with(layer).try_init()?;
         Ok(Logging {
             level: handle,
-            places,
+            limiter,
             dropped,
-            reported: Mutex::default(),
-            left_out: Mutex::default(),
+            reported_dropped: Mutex::default(),
+            suppressed: Mutex::default(),
             _guard: guard,
         })
     }
 
-    /// Changes the levels from now on.
+    /// Replaces the filter directives.
     ///
     /// # Errors
-    /// The directives make no sense; the levels stay as they are.
+    /// The directives are invalid; the previous ones stay in effect.
     pub fn set_level(&self, text: &str) -> Result<(), LogError> {
         let level = read_level(text)?;
         let bad = |why: reload::Error| LogError::Level { found: text.into(), why: why.to_string() };
         self.level.reload(level).map_err(bad)
     }
 
-    /// Lines dropped so far, since nobody read them.
+    /// Number of lines dropped so far because the queue was full.
     pub fn dropped(&self) -> usize {
         self.dropped.dropped_lines()
     }
 
-    /// Lines left out so far, since they repeated too often.
-    pub fn left_out(&self) -> u64 {
-        self.collect();
-        *lock(&self.left_out)
+    /// Number of lines suppressed so far by the rate limit.
+    pub fn suppressed(&self) -> u64 {
+        self.take_suppressed();
+        *lock(&self.suppressed)
     }
 
-    fn collect(&self) -> Vec<(Identifier, u64)> {
-        let taken = lock(&self.places).take_left_out();
-        *lock(&self.left_out) += taken.iter().map(|(_, count)| count).sum::<u64>();
-        taken
+    /// Takes the counts of suppressed lines by call site, and adds them to the total.
+    fn take_suppressed(&self) -> Vec<(Identifier, u64)> {
+        let counts = lock(&self.limiter).take_suppressed();
+        *lock(&self.suppressed) += counts.iter().map(|(_, count)| count).sum::<u64>();
+        counts
     }
 
-    /// Says what was left out or dropped since the last time.
+    /// Logs how many lines were suppressed or dropped since the last report.
     pub fn report(&self) {
-        for (place, count) in self.collect() {
-            let metadata = place.0.metadata();
-            let at = (metadata.file().unwrap_or("?"), metadata.line().unwrap_or(0));
-            tracing::warn!(count, file = at.0, line = at.1, "lines of one place were left out");
+        for (call_site, count) in self.take_suppressed() {
+            let metadata = call_site.0.metadata();
+            let (file, line) = (metadata.file().unwrap_or("?"), metadata.line().unwrap_or(0));
+            tracing::warn!(count, file, line, "repeated log lines of one call site were suppressed");
         }
         let dropped = self.dropped();
-        let new = dropped - std::mem::replace(&mut *lock(&self.reported), dropped);
+        let new = dropped - std::mem::replace(&mut *lock(&self.reported_dropped), dropped);
         if new > 0 {
-            tracing::warn!(count = new, "log lines were dropped: they were not read in time");
+            tracing::warn!(
+                count = new,
+                "log lines were dropped: standard error was not read in time, and the log queue was full"
+            );
         }
     }
 }
 
-/// The target of lines that are written on request.
-pub const ASKED: &str = "rookspoke::counters";
-/// The target of lines that tell the phases of a shutdown: a few in a process's life.
+/// Log target of the counters, written on SIGUSR1 and at exit.
+pub const COUNTERS: &str = "rookspoke::counters";
+/// Log target of the phases of a graceful shutdown: a few lines in the lifetime of a process.
 pub const SHUTDOWN: &str = "rookspoke::shutdown";
-/// Targets whose lines are few and never left out: what somebody asked for, phases, and what was left out itself.
-const UNLIMITED: [&str; 3] = [ASKED, SHUTDOWN, module_path!()];
-/// How often what was left out is told.
-pub const REPORT: Duration = Duration::from_secs(10);
+/// Targets that are exempt from the rate limit since their lines are few: counters, shutdown phases, and this module's
+/// own reports of suppressed lines.
+const UNLIMITED: [&str; 3] = [COUNTERS, SHUTDOWN, module_path!()];
+/// Interval between reports of suppressed and dropped lines.
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    // Counts and windows are whole at every step.
+    // Poisoning is ignored: counts and windows are consistent after every single step, even where a holder panicked.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/rookspoke/src/main.rs
+++ b/crates/rookspoke/src/main.rs
@@ -9,7 +9,7 @@
 mod inherit;
 mod logging;
 mod operators;
-mod repeats;
+mod rate_limit;
 mod serving;
 mod setup;
 mod share;
--- a/crates/rookspoke/tests/commands.rs
+++ b/crates/rookspoke/tests/commands.rs
@@ -290,7 +290,7 @@
     daemon.wait_log("http counters at exit");
     let log = daemon.log();
     let written = log.iter().filter(|line| line.contains("an answer is unreadable")).count();
-    let told = log.iter().filter(|line| line.contains("lines of one place were left out"));
+    let told = log.iter().filter(|line| line.contains("repeated log lines of one call site were suppressed"));
     let count = |line: &String| line.split("count=").nth(1)?.split(' ').next()?.parse::<usize>().ok();
     let left_out: usize = told.filter_map(count).sum();
     assert!(left_out > 0, "{written} were written");
