--- a/crates/rookspoke/src/bind.rs
+++ b/crates/rookspoke/src/bind.rs
@@ -1,4 +1,4 @@
-//! Listening sockets at the start, which the system may refuse for a moment.
+//! Opens listening sockets at startup, with retries while the system is short of resources.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,27 +7,27 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// What the system is short of for longer than this ends the start.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Between two tries.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Connections that the system keeps for a listener until they are accepted. Beyond this many it drops a client's first
-/// packet, and the client tries again after a whole second: longer than most deadlines. A burst of clients comes while
-/// this process is busy, so this is far above what is accepted in one turn; the system's own limit cuts it.
+/// A shortage of resources that lasts longer than this fails the start.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause between attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Length of the queue of connections that are not accepted yet. When it is full, the system drops a client's SYN, and
+/// the client retransmits it after a whole second: longer than most deadlines. A burst of clients may arrive while this
+/// process is busy, so this is far above the number accepted in one turn; the system caps it at its own limit.
 const BACKLOG: u32 = 1024;
-/// Linux's numbers of what passes: EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, ENOBUFS.
-const PASSING: [i32; 6] = [4, 11, 12, 23, 24, 105];
+/// Linux error numbers of transient failures: EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, ENOBUFS.
+const TRANSIENT_ERRORS: [i32; 6] = [4, 11, 12, 23, 24, 105];
 
-/// A listener at this address.
+/// Opens a listener on `address`; transient failures are retried.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let by = Instant::now() + PATIENCE;
+    let give_up_at = Instant::now() + RETRY_TIMEOUT;
     loop {
         match bind(address) {
-            Err(error) if passes(&error) && Instant::now() < by => {
-                tracing::warn!("listening at {address}: {error}");
-                sleep(PAUSE).await;
+            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+                tracing::warn!("cannot listen on {address} yet, retrying: {error}");
+                sleep(RETRY_INTERVAL).await;
             }
-            done => return done,
+            result => return result,
         }
     }
 }
@@ -42,6 +42,6 @@
     socket.listen(BACKLOG)
 }
 
-fn passes(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|number| PASSING.contains(&number))
+fn is_transient(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|number| TRANSIENT_ERRORS.contains(&number))
 }
--- a/crates/rookspoke/src/setup.rs
+++ b/crates/rookspoke/src/setup.rs
@@ -127,8 +127,8 @@
     }
 
     fn from_resolved(mut resolved: Resolved) -> Result<Self, SetupError> {
-        // Without a configured seed, each start draws its own. It is removed from the tree below, since a drawn seed is
-        // not a setting and must not show up as a change at a reload.
+        // Without a configured seed, each start draws its own. It is removed from the tree below, since a drawn seed
+        // is not a setting and must not show up as a change at a reload.
         let draws_seed = resolved.tree.get("seed").is_none_or(Value::is_null);
         if draws_seed {
             let seed = std::collections::hash_map::RandomState::new().build_hasher().finish();
--- a/crates/rookspoke/src/shutdown.rs
+++ b/crates/rookspoke/src/shutdown.rs
@@ -1,57 +1,58 @@
-//! When the steps of a graceful shutdown happen. Pure: the longest deadline goes in, moments after SIGTERM come out.
+//! The schedule of a graceful shutdown. Pure: computes times after SIGTERM from the longest deadline.
 //!
-//! The platform sends SIGKILL no sooner than the longest deadline of the deployment, counted as 3 s at most, and 0.7 s
-//! more after SIGTERM; clients use every connection that stays open until then. So whatever is accepted has to be
-//! answered before that, and no connection may be open to a new request from then on. Every step is counted back from
-//! that moment: none is a fixed time that a deployment with other deadlines would outrun.
+//! The earliest SIGKILL from the platform comes after the longest deadline of the deployment, capped at 3 s, plus 0.7
+//! s, both counted from SIGTERM. Clients keep using connections that stay open until then. So every accepted request
+//! has to be answered before that time, and from then on no connection may be open for a new request. Every step is
+//! computed backwards from that time: a fixed time could be too late in a deployment with other deadlines.
 
 use std::time::Duration;
 
-/// How long a deadline counts at most.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// From the end of the longest deadline to SIGKILL, at least.
+/// Cap of the deadline from which the platform computes the time of SIGKILL.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Minimum time from the end of the longest deadline to SIGKILL.
 const KILL_ALLOWANCE: Duration = Duration::from_millis(700);
-/// A process may be held up for 0.15 s, both before it notices SIGTERM and before it writes its last answers; the rest
-/// is for these answers to be sent.
-const MARGIN: Duration = Duration::from_millis(350);
-/// New connections come for up to 0.4 s after SIGTERM.
-const NEW_CONNECTIONS: Duration = Duration::from_millis(500);
-/// A request that is whole by the cut-off is read, and refused if nothing else, within this time.
-const LAST_REQUEST: Duration = Duration::from_millis(100);
+/// Time kept free before SIGKILL. The process may stall for 0.15 s before it handles SIGTERM and for 0.15 s again
+/// before it writes its last responses; the rest is for sending these responses.
+const KILL_MARGIN: Duration = Duration::from_millis(350);
+/// How long new connections are accepted: they arrive for up to 0.4 s after SIGTERM.
+const ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// A request that has arrived completely by the cut-off is read and answered, at worst with a refusal, within this
+/// time.
+const LAST_REQUEST_TIME: Duration = Duration::from_millis(100);
 
-/// The moments of a graceful shutdown, each counted from SIGTERM, none later than the next.
+/// The steps of a graceful shutdown in their order, each as a time after SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// Until then new connections are accepted; what is taken later is held to `answered_by`.
+    /// New connections are accepted until this time; requests accepted later have to be answered by `answered_by`.
     pub accept_until: Duration,
-    /// Until then open connections are served, while requests that were accepted before are still unanswered. After
-    /// that each connection closes with its answer, and idle ones at once.
+    /// Open connections are served until this time, or until all requests accepted before have been answered. After
+    /// that each connection closes with its next response, and idle connections close at once.
     pub serve_until: Duration,
-    /// From then on no request is read: what is not whole by then is turned down.
+    /// No request is read from this time on; one that has not arrived completely is rejected.
     pub cut_off: Duration,
-    /// By then every request has its answer.
+    /// Every request has its response by this time.
     pub answered_by: Duration,
-    /// SIGKILL comes no sooner.
+    /// The earliest time at which SIGKILL can arrive.
     pub earliest_kill: Duration,
 }
 
 impl ShutdownPlan {
-    /// The plan of a process whose clients wait for `longest_deadline` at most.
+    /// The plan for clients that wait at most `longest_deadline` for a response.
     pub fn new(longest_deadline: Duration) -> Self {
-        let deadline = longest_deadline.min(LONGEST_COUNTED);
+        let deadline = longest_deadline.min(MAX_COUNTED_DEADLINE);
         let earliest_kill = deadline + KILL_ALLOWANCE;
-        let answered_by = earliest_kill - MARGIN;
-        let cut_off = answered_by - LAST_REQUEST;
-        let accept_until = NEW_CONNECTIONS.min(cut_off);
-        // With less than half of the deadline left, a request is better off elsewhere.
+        let answered_by = earliest_kill - KILL_MARGIN;
+        let cut_off = answered_by - LAST_REQUEST_TIME;
+        let accept_until = ACCEPT_TIME.min(cut_off);
+        // A request left with less than half of its deadline has better chances at another dispatcher.
         let serve_until = (answered_by - deadline / 2).clamp(accept_until, cut_off);
         ShutdownPlan { accept_until, serve_until, cut_off, answered_by, earliest_kill }
     }
 
-    /// The same for a process whose listener another one shares: that one serves whoever comes, or comes again.
+    /// The plan for a process that shares its listener with a successor, which serves new and returning clients.
     pub fn with_successor(longest_deadline: Duration) -> Self {
-        let at_once = Duration::ZERO;
-        ShutdownPlan { accept_until: at_once, serve_until: at_once, ..Self::new(longest_deadline) }
+        let immediately = Duration::ZERO;
+        ShutdownPlan { accept_until: immediately, serve_until: immediately, ..Self::new(longest_deadline) }
     }
 }
 
@@ -82,9 +83,10 @@
             let deadline = Duration::from_millis(ms);
             for plan in [ShutdownPlan::new(deadline), ShutdownPlan::with_successor(deadline)] {
                 prop_assert!(millis(plan).is_sorted(), "{plan:?}");
-                prop_assert_eq!(plan.earliest_kill, deadline.min(LONGEST_COUNTED) + KILL_ALLOWANCE);
-                prop_assert!(plan.answered_by + MARGIN <= plan.earliest_kill);
-                // A request of before, noticed late, is over by the kill or may be open then.
+                prop_assert_eq!(plan.earliest_kill, deadline.min(MAX_COUNTED_DEADLINE) + KILL_ALLOWANCE);
+                prop_assert!(plan.answered_by + KILL_MARGIN <= plan.earliest_kill);
+                // A request sent before the listener closed and handled 150 ms late either ends before SIGKILL or is
+                // one of those that may be open at that time.
                 prop_assert!(plan.accept_until + Duration::from_millis(150) <= KILL_ALLOWANCE);
             }
         }
--- a/crates/rookspoke/src/signals.rs
+++ b/crates/rookspoke/src/signals.rs
@@ -1,36 +1,37 @@
-//! The signals that the daemon heeds.
+//! The signals that the daemon handles.
 
 use std::io;
 
 use thiserror::Error;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// A signal could not be listened for.
+/// The handler of a signal could not be installed.
 #[derive(Debug, Error)]
-#[error("{signal}: {error}")]
+#[error("cannot install the handler of {signal}: {error}")]
 pub struct SignalError {
     signal: &'static str,
     error: io::Error,
 }
 
-/// Signals that have come since [`Signals::listen`]; one that came several times unheeded comes once.
+/// Streams of the signals received since [`Signals::listen`]. A signal received several times before it is handled is
+/// delivered once.
 pub struct Signals {
-    /// SIGTERM: shut down.
+    /// SIGTERM: shut down gracefully.
     pub terminate: Signal,
-    /// SIGUSR1: write the counters.
+    /// SIGUSR1: log the counters.
     pub report: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub reload: Signal,
 }
 
 impl Signals {
-    /// Listens from now on; needs a runtime's context.
+    /// Installs the handlers; has to be called within the context of a Tokio runtime.
     pub fn listen() -> Result<Self, SignalError> {
-        let listen = |name, kind| signal(kind).map_err(|error| SignalError { signal: name, error });
+        let install = |name, kind| signal(kind).map_err(|error| SignalError { signal: name, error });
         Ok(Signals {
-            terminate: listen("SIGTERM", SignalKind::terminate())?,
-            report: listen("SIGUSR1", SignalKind::user_defined1())?,
-            reload: listen("SIGHUP", SignalKind::hangup())?,
+            terminate: install("SIGTERM", SignalKind::terminate())?,
+            report: install("SIGUSR1", SignalKind::user_defined1())?,
+            reload: install("SIGHUP", SignalKind::hangup())?,
         })
     }
 }
--- a/crates/rookspoke/tests/commands.rs
+++ b/crates/rookspoke/tests/commands.rs
@@ -189,7 +189,11 @@
     let first = says(daemon.folder());
     let second = run(daemon.folder(), &["serve", "--config", "site.conf"]);
     assert_eq!(second.status.code(), Some(1));
-    assert!(text(&second.stderr).contains("another daemon is live there"), "{}", text(&second.stderr));
+    assert!(
+        text(&second.stderr).contains("the control socket is in use by another daemon"),
+        "{}",
+        text(&second.stderr)
+    );
     assert_eq!(says(daemon.folder()), first, "the first still answers");
     // One that is no socket is somebody's file.
     let other = Folder::new();
