--- a/crates/rookspoke/src/bind.rs
+++ b/crates/rookspoke/src/bind.rs
@@ -11,9 +11,10 @@
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause between attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Length of the queue of connections that are not accepted yet. When it is full, the system drops a client's SYN, and
-/// the client retransmits it after a whole second: longer than most deadlines. A burst of clients may arrive while this
-/// process is busy, so this is far above the number accepted in one turn; the system caps it at its own limit.
+/// Length of the queue of connections that are not accepted yet. When it is full, the system drops a client's SYN,
+/// and the client retransmits it after a whole second: longer than most deadlines. A burst of clients may arrive
+/// while this process is busy, so this is far above the number accepted in one turn; the system caps it at its own
+/// limit.
 const BACKLOG: u32 = 1024;
 /// Linux error numbers of transient failures: EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, ENOBUFS.
 const TRANSIENT_ERRORS: [i32; 6] = [4, 11, 12, 23, 24, 105];
--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -1,4 +1,5 @@
-//! One client connection: requests are served on it one after the other, until its client leaves or the process ends.
+//! One client connection: serves its requests one after the other until the client closes it or the process shuts
+//! down.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,157 +19,159 @@
 use rookspoke_channel::{plain, ResponseBody, MAX_BUFFER};
 use rookspoke_guard::{Framed, Permit, Socket};
 
-use crate::serving::Serving;
+use crate::server_state::ServerState;
 
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
-const READY: &str = "/health/ready";
-/// What is on the socket when its connection is to close is read within this time. Meanwhile nobody looks for the client's
-/// end, after which an attempt must not begin by more than 0.1 s.
-const LAST_LOOK: Duration = Duration::from_millis(50);
-/// Between two looks at whether something is left to be read.
-const LOOK: Duration = Duration::from_millis(2);
-/// A client that has its last answer closes its side within this time, or the connection is closed on it.
-const LINGER: Duration = Duration::from_millis(300);
+const READY_PATH: &str = "/health/ready";
+/// How long a connection that is about to close reads data that has already arrived. During this time a close by the
+/// client goes unnoticed, and no call attempt may start more than 0.1 s after the client has closed.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Interval at which unread data is checked for during that time.
+const FINAL_READ_INTERVAL: Duration = Duration::from_millis(2);
+/// How long the connection waits for the client to close its side after the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What all client connections are told to do.
+/// The phase of service that applies to all client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Requests are served.
+    /// Connections stay open, and requests are served.
     Serving,
-    /// Each connection closes with its answer; one that waits for nothing closes at once.
+    /// Each connection closes after its next response; idle connections close at once.
     Closing,
-    /// No further request is read, not even one that has begun to come.
+    /// No further request is read, not even one that has arrived in part.
     CutOff,
 }
 
-/// What a connection needs to know beside its socket.
+/// The state shared by all client connections.
 #[derive(Clone)]
 pub struct Context {
-    /// Where requests go.
-    pub serving: Serving,
-    /// What connections are told to do.
+    /// The server's readiness, and the channel that dispatches requests.
+    pub state: ServerState,
+    /// The current phase.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// What the answers of a connection tell its end.
+/// Records the responses on a connection; decides how the connection is closed.
 #[derive(Clone, Default)]
-struct Answers {
-    /// How many were given.
-    given: Arc<AtomicU64>,
-    /// The last one turned its request down.
-    turned_down: Arc<AtomicBool>,
+struct Responses {
+    /// Number of responses so far.
+    count: Arc<AtomicU64>,
+    /// Whether the last response has a 4xx status.
+    last_rejected: Arc<AtomicBool>,
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 pub async fn serve(context: Context, socket: Socket, permit: Permit) {
-    let Context { serving, mut phase } = context;
-    let counters = serving.channel().counters().clone();
-    let answers = Answers::default();
+    let Context { state, mut phase } = context;
+    let counters = state.channel().counters().clone();
+    let responses = Responses::default();
     let (unread, end) = (socket.unread(), socket.end());
-    let framed = Framed::new(socket, permit.clone(), answers.given.clone());
+    let framed = Framed::new(socket, permit.clone(), responses.count.clone());
     let cut_off = framed.cut_off();
     let service = {
-        let (answers, phase) = (answers.clone(), phase.clone());
-        service_fn(move |request| answer(serving.clone(), answers.clone(), phase.clone(), request))
+        let (responses, phase) = (responses.clone(), phase.clone());
+        service_fn(move |request| respond(state.clone(), responses.clone(), phase.clone(), request))
     };
     let connection =
         http1::Builder::new().max_buf_size(MAX_BUFFER).serve_connection(TokioIo::new(framed), service);
     let mut connection = Box::pin(connection);
-    let mut reached = Phase::Serving;
-    let done = loop {
+    let mut current_phase = Phase::Serving;
+    let result = loop {
         tokio::select! {
-            // The connection first: what has come saves it from having to leave.
+            // The connection first: a request that has arrived may prevent a requested close.
             biased;
-            done = connection.as_mut() => break done,
+            result = connection.as_mut() => break result,
             () = permit.close_requested() => {
                 counters.closed.add();
                 return;
             }
-            // Behind bytes that the library has not read it does not see this, and would go on with the job.
+            // Hyper does not notice a close that lies behind unread bytes, and would continue the job.
             () = end.closed_by_client() => return,
-            next = later_phase(&mut phase, reached), if reached < Phase::CutOff => {
-                reached = next;
-                if reached == Phase::CutOff {
+            next = next_phase(&mut phase, current_phase), if current_phase < Phase::CutOff => {
+                current_phase = next;
+                if current_phase == Phase::CutOff {
                     cut_off.set();
                 } else if permit.expects_request() {
-                    // That one may still come whole, and its answer is the last.
+                    // That request may still arrive completely; the connection closes after its response.
                     continue;
                 }
-                // A library that shuts down reads nothing more, not even what is here already.
-                if let Some(done) = read_what_is_here(connection.as_mut(), &unread).await {
-                    break done;
+                // After `graceful_shutdown` hyper reads nothing more, not even data that has already arrived.
+                if let Some(result) = read_arrived(connection.as_mut(), &unread).await {
+                    break result;
                 }
                 connection.as_mut().graceful_shutdown();
             }
         }
     };
     drop(connection);
-    let malformed = done.is_err_and(|error| error.is_parse());
+    let malformed = result.is_err_and(|error| error.is_parse());
     if malformed {
         counters.malformed.add();
-    } else if answers.given.load(Ordering::Acquire) == 0 {
+    } else if responses.count.load(Ordering::Acquire) == 0 {
         return;
     }
-    let discard = malformed || answers.turned_down.load(Ordering::Acquire);
+    let discard = malformed || responses.last_rejected.load(Ordering::Acquire);
     tokio::select! {
-        () = end.linger(LINGER, discard) => {}
+        () = end.linger(LINGER_TIMEOUT, discard) => {}
         () = permit.close_requested() => {}
     }
-    // Its place is free only once the socket is closed.
+    // The permit is released only after the socket is closed.
     drop(end);
     drop(permit);
 }
 
-/// Waits for a phase after `reached`. Ends never, if whoever tells of phases is gone.
-async fn later_phase(phase: &mut watch::Receiver<Phase>, reached: Phase) -> Phase {
-    let later = phase.wait_for(|phase| *phase > reached).await.ok().map(|phase| *phase);
-    match later {
+/// Waits for a phase later than `current`; never completes if the sender is gone.
+async fn next_phase(phase: &mut watch::Receiver<Phase>, current: Phase) -> Phase {
+    let next = phase.wait_for(|phase| *phase > current).await.ok().map(|phase| *phase);
+    match next {
         Some(phase) => phase,
         None => std::future::pending().await,
     }
 }
 
-/// Lets a connection read what has come already; gives its end, if that comes meanwhile.
-async fn read_what_is_here<C: Future>(
+/// Lets a connection read the data that has already arrived; returns its result if it completes meanwhile.
+async fn read_arrived<C: Future>(
     mut connection: Pin<&mut C>,
     unread: impl Fn() -> bool,
 ) -> Option<C::Output> {
-    let by = Instant::now() + LAST_LOOK;
+    let give_up_at = Instant::now() + FINAL_READ_TIMEOUT;
     loop {
-        // Once at least: what was read already may be waiting in the library.
-        if let Ok(done) = tokio::time::timeout(LOOK, connection.as_mut()).await {
-            return Some(done);
+        // At least once: hyper may hold data that is read but not processed yet.
+        if let Ok(result) = tokio::time::timeout(FINAL_READ_INTERVAL, connection.as_mut()).await {
+            return Some(result);
         }
-        if !unread() || Instant::now() >= by {
+        if !unread() || Instant::now() >= give_up_at {
             return None;
         }
     }
 }
 
-async fn answer(
-    serving: Serving,
-    answers: Answers,
+/// Responds to a request, records the response, and closes the connection with it during a shutdown.
+async fn respond(
+    state: ServerState,
+    responses: Responses,
     phase: watch::Receiver<Phase>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
-    let mut response = route(serving, request).await;
-    answers.turned_down.store(response.status().is_client_error(), Ordering::Release);
+    let mut response = route(state, request).await;
+    responses.last_rejected.store(response.status().is_client_error(), Ordering::Release);
     if *phase.borrow() > Phase::Serving {
         response.headers_mut().insert(header::CONNECTION, CLOSE);
     }
-    answers.given.fetch_add(1, Ordering::AcqRel);
+    responses.count.fetch_add(1, Ordering::AcqRel);
     Ok(response)
 }
 
-async fn route(serving: Serving, request: Request<Incoming>) -> Response<ResponseBody> {
-    if request.uri().path() == READY {
-        return match serving.is_ready() {
+/// Answers the readiness check itself; passes every other request to the channel.
+async fn route(state: ServerState, request: Request<Incoming>) -> Response<ResponseBody> {
+    if request.uri().path() == READY_PATH {
+        return match state.is_ready() {
             true => plain(StatusCode::OK, "ready"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         };
     }
-    let Ok(mut response) = serving.channel().clone().call(request).await;
-    // Its body was not read: where the next request begins, nobody knows.
+    let Ok(mut response) = state.channel().clone().call(request).await;
+    // The request body was not read to its end, so the start of the next request is unknown.
     if let StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT = response.status() {
         response.headers_mut().insert(header::CONNECTION, CLOSE);
     }
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Everything that runs, and the signals that it heeds.
+//! Starts the servers of the daemon, and handles signals until it exits.
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -22,51 +22,51 @@
 use crate::front::Front;
 use crate::inherit::{self, InheritError};
 use crate::logging::{self, Logging};
-use crate::operators::{Bans, Fronts, Operators};
-use crate::serving::Serving;
+use crate::operators::{BanSync, ConsoleBackend, Fronts};
+use crate::server_state::ServerState;
 use crate::setup::{ReadReason, Setup};
-use crate::share::{self, Share};
+use crate::share::{self, DescriptorShare};
 use crate::signals::Signals;
 
-/// Why the daemon could not start.
+/// Why the daemon failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The system refuses something.
+    /// A system call failed; the text names the setting concerned.
     #[error("{0}: {1}")]
     Io(&'static str, std::io::Error),
-    /// The inherited descriptor is of no use.
+    /// The inherited descriptor is not a usable listener.
     #[error("accept-fd: {0}")]
     Inherit(#[from] InheritError),
     /// VRRP could not start.
     #[error("{0}")]
     Vrrp(#[from] rookspoke_config::ConfigError),
-    /// There is no control socket.
+    /// The control socket could not be opened.
     #[error("control.path: {0}")]
     Control(#[from] ControlError),
 }
 
-/// Everything that runs, and what it counts.
+/// The running tasks of the daemon and their counters.
 struct Daemon {
-    /// Fronts and the like: each ends once told to stop.
-    parts: JoinSet<()>,
-    /// Cores: none may end before the process does.
-    cores: JoinSet<()>,
+    /// The fronts and VRRP: each of these tasks ends after `stop`.
+    servers: JoinSet<()>,
+    /// The tasks that make the dispatch decisions: the process exits if one of them ends.
+    dispatch_tasks: JoinSet<()>,
     counters: Vec<(&'static str, Arc<Counters>)>,
     vrrp: Option<(Arc<vrrp::VrrpCounters>, watch::Receiver<bool>)>,
     stop: watch::Sender<bool>,
-    /// What clients wait for at most: what a shutdown has to be over by follows from it.
+    /// The longest time a client waits for a response; the plan of a graceful shutdown depends on it.
     longest_deadline: watch::Sender<Duration>,
-    /// Once the HTTP front is up.
-    serving: Option<Serving>,
-    /// What operators ask of the Faktory front, if it is on.
+    /// Set once the HTTP front is started.
+    state: Option<ServerState>,
+    /// Handle for operator commands to the Faktory front, if it is enabled.
     faktory: Option<faktory::Operators>,
-    /// What operators use; it ends with the process.
-    operators: JoinSet<()>,
+    /// The console and the polling of the state folder; these tasks run until the process exits.
+    operator_tasks: JoinSet<()>,
     logging: Arc<Logging>,
 }
 
 impl Daemon {
-    /// A future that ends when the daemon is told to stop.
+    /// A future that completes when the daemon begins to shut down.
     fn stopped(&self) -> impl Future<Output = ()> + Send + 'static {
         let mut stop = self.stop.subscribe();
         async move {
@@ -74,7 +74,8 @@
         }
     }
 
-    fn report(&self, when: &str) {
+    /// Logs all counters; `when` is appended to the word `counters`.
+    fn log_counters(&self, when: &str) {
         for (front, counters) in &self.counters {
             tracing::info!(target: logging::COUNTERS, "{front} counters{when}: {counters}");
         }
@@ -96,44 +97,48 @@
         };
         let (channel, core) = Channel::start(config);
         self.counters.push(("http", channel.counters().clone()));
-        self.cores.spawn(async move { tracing::error!("the http core ended: {:?}", core.await) });
-        let serving = Serving::new(channel.clone());
-        self.serving = Some(serving.clone());
+        self.dispatch_tasks.spawn(async move {
+            tracing::error!("the HTTP dispatch task ended unexpectedly: {:?}", core.await)
+        });
+        let state = ServerState::new(channel.clone());
+        self.state = Some(state.clone());
         if let Some(console) = console {
-            self.start_console(config, console, serving.clone()).await?;
+            self.start_console(config, console, state.clone()).await?;
         }
-        let clients = share::clients(config.limits.sockets);
-        let front = Front::new(serving.clone(), clients, self.longest_deadline.subscribe());
-        // A listener that is handed on goes from one process to the next under load.
+        let client_limit = share::client_limit(config.limits.sockets);
+        let front = Front::new(state.clone(), client_limit, self.longest_deadline.subscribe());
+        // An inherited listener is used for upgrades under load, where two processes run at the same time.
         if let (Some(_), Some(folder)) = (config.accept_fd, &config.state) {
-            if let Some(mut share) = Share::take(folder, front.limit().clone(), config.limits.sockets) {
-                share.look(&serving);
-                self.operators.spawn(share.keep(serving.clone()));
+            let share = DescriptorShare::acquire(folder, front.limit().clone(), config.limits.sockets);
+            if let Some(mut share) = share {
+                share.update(&state);
+                self.operator_tasks.spawn(share.run(state.clone()));
             }
         }
-        self.parts.spawn(front.serve(listener, config.accept_fd.is_some(), self.stopped()));
+        self.servers.spawn(front.serve(listener, config.accept_fd.is_some(), self.stopped()));
         tracing::info!("{}: http listens at {at}", config.name);
         Ok(())
     }
 
-    /// Answers operators for as long as the process lives: while it ends, too.
+    /// Starts the operators' console, which runs until the process exits, also during a shutdown.
     async fn start_console(
         &mut self,
         config: &Config,
         listener: TcpListener,
-        serving: Serving,
+        state: ServerState,
     ) -> Result<(), StartError> {
         let at = listener.local_addr().map_err(|e| StartError::Io("console", e))?;
         let store = config.state.as_ref().map(Store::new);
-        let fronts = Fronts { channel: serving.channel().clone(), faktory: self.faktory.clone() };
-        let bans = store.map(|store| Arc::new(Bans::new(store, fronts)));
+        let fronts = Fronts { channel: state.channel().clone(), faktory: self.faktory.clone() };
+        let bans = store.map(|store| Arc::new(BanSync::new(store, fronts)));
         if let Some(bans) = &bans {
-            // Before the first job and the first probe.
-            bans.first_look().await;
-            self.operators.spawn(bans.clone().follow());
+            // Bans have to be in effect before the first job or probe is sent.
+            bans.load_initial().await;
+            self.operator_tasks.spawn(bans.clone().run());
         }
         let counters = self.counters.iter().map(|(_, counters)| counters.clone()).collect();
-        self.operators.spawn(rookspoke_console::serve(listener, Operators { serving, counters, bans }));
+        self.operator_tasks
+            .spawn(rookspoke_console::serve(listener, ConsoleBackend { state, counters, bans }));
         tracing::info!("{}: the console listens at {at}", config.name);
         Ok(())
     }
@@ -147,42 +152,46 @@
                 let driver = vrrp::Driver::open(vrrp).await?;
                 let master = driver.master();
                 self.vrrp = Some((driver.counters(), master.clone()));
-                self.parts.spawn(driver.run(self.stopped()));
+                self.servers.spawn(driver.run(self.stopped()));
                 master
             }
-            // Alone, it is always the one that works.
+            // Without VRRP, this process is always the active one.
             None => watch::channel(true).1,
         };
         let (settings, times) = (&config.settings, config.class_time.clone());
         let (server, core) = faktory::Server::new(faktory, settings, times, config.seed, active);
         self.counters.push(("faktory", server.counters()));
         self.faktory = Some(server.operators());
-        self.cores.spawn(async move { tracing::error!("the faktory core ended: {:?}", core.await) });
-        self.parts.spawn(server.serve(listener, self.stopped()));
+        self.dispatch_tasks.spawn(async move {
+            tracing::error!("the Faktory dispatch task ended unexpectedly: {:?}", core.await)
+        });
+        self.servers.spawn(server.serve(listener, self.stopped()));
         tracing::info!("{}: faktory listens at {at}", config.name);
         Ok(())
     }
 
-    /// Answers on the control socket for as long as the process lives: while it ends, too.
+    /// Starts the control socket, which runs until the process exits, also during a shutdown.
     fn start_control(&self, name: &str, control: Control) -> JoinSet<()> {
         let (name, start, stop) = (name.to_owned(), Instant::now(), self.stop.subscribe());
-        let (serving, vrrp, logging) = (self.serving.clone(), self.vrrp.clone(), self.logging.clone());
+        let (state, vrrp, logging) = (self.state.clone(), self.vrrp.clone(), self.logging.clone());
         let counters = self.counters.clone();
         let status = move || {
-            let own = |pairs: Vec<(&str, u64)>| pairs.into_iter().map(|(n, v)| (n.to_owned(), v)).collect();
-            let fronts = counters.iter().map(|(front, totals)| ((*front).to_owned(), own(totals.pairs())));
-            let pair = vrrp.iter().map(|(totals, _)| ("vrrp".to_owned(), own(totals.pairs())));
+            let owned = |pairs: Vec<(&str, u64)>| {
+                pairs.into_iter().map(|(name, value)| (name.to_owned(), value)).collect()
+            };
+            let fronts = counters.iter().map(|(front, totals)| ((*front).to_owned(), owned(totals.pairs())));
+            let vrrp_counters = vrrp.iter().map(|(totals, _)| ("vrrp".to_owned(), owned(totals.pairs())));
             Status {
                 name: name.clone(),
                 version: env!("CARGO_PKG_VERSION").into(),
                 pid: std::process::id(),
                 uptime_s: start.elapsed().as_secs(),
-                ready: serving.as_ref().is_some_and(Serving::is_ready),
+                ready: state.as_ref().is_some_and(ServerState::is_ready),
                 ending: *stop.borrow(),
                 master: vrrp.as_ref().map(|(_, master)| *master.borrow()),
                 log_dropped: logging.dropped() as u64,
                 log_left_out: logging.suppressed(),
-                counters: fronts.chain(pair).collect(),
+                counters: fronts.chain(vrrp_counters).collect(),
             }
         };
         let mut task = JoinSet::new();
@@ -190,56 +199,60 @@
         task
     }
 
-    /// Reads the configuration again. One that makes no sense changes nothing.
+    /// Reloads the configuration. An invalid one changes nothing.
     async fn reload(&self, config_args: &ConfigArgs, setup: &mut Setup) {
         let new = match Setup::read(config_args, ReadReason::Reload) {
             Ok(new) => new,
             Err(error) => {
-                return tracing::warn!("told to reload; the configuration stays as it is: {error}");
+                return tracing::warn!("SIGHUP received: new configuration rejected: {error}");
             }
         };
-        // Before anything is changed, lest half of a file holds.
+        // Before anything else is changed: a file must not be applied in part.
         if let Err(error) = self.logging.set_level(&new.log.level) {
-            return tracing::warn!("told to reload; the configuration stays as it is: {error}");
+            return tracing::warn!("SIGHUP received: new configuration rejected: {error}");
         }
         let changes = new.resolved.changes_since(&setup.resolved);
-        let list = changes.live.iter().any(|key| key == "discovery" || key.starts_with("worker "));
-        tracing::info!("told to reload; changed, and heeded now: {}", words(&changes.live));
+        let list_changed = changes.live.iter().any(|key| key == "discovery" || key.starts_with("worker "));
+        tracing::info!("SIGHUP received: settings in effect now: {}", comma_separated(&changes.live));
         if !changes.at_restart.is_empty() {
-            tracing::warn!("changed, and heeded only after a restart: {}", words(&changes.at_restart));
+            tracing::warn!(
+                "SIGHUP received: settings in effect only after a restart: {}",
+                comma_separated(&changes.at_restart)
+            );
         }
-        if let (Some(serving), true) = (&self.serving, list) {
-            serving.channel().take_list_from(new.config.source.clone()).await;
+        if let (Some(state), true) = (&self.state, list_changed) {
+            state.channel().take_list_from(new.config.source.clone()).await;
         }
-        // Whether the platform counts by the old deadlines or by the new ones, a shutdown is over in time.
-        let longest = longest_deadline(&new.config);
-        self.longest_deadline.send_if_modified(|held| {
-            let shorter = longest < *held;
-            *held = longest.min(*held);
-            shorter
+        // The platform may compute the time of SIGKILL from the old deadlines or from the new ones; with the shorter
+        // of both a shutdown ends in time in either case.
+        let new_longest = longest_deadline(&new.config);
+        self.longest_deadline.send_if_modified(|longest| {
+            let is_shorter = new_longest < *longest;
+            *longest = new_longest.min(*longest);
+            is_shorter
         });
-        // What only a restart heeds is still as it was, and so is told again at the next reload.
+        // Settings that need a restart keep their old values here, so the next reload reports them again.
         setup.resolved.take_live(&new.resolved);
         setup.config.source = new.config.source;
     }
 }
 
-/// What clients of any class wait for at most.
+/// The longest deadline of all classes.
 fn longest_deadline(config: &Config) -> Duration {
     config.class_time.iter().copied().max().unwrap_or_default()
 }
 
-fn words(keys: &[String]) -> String {
+fn comma_separated(keys: &[String]) -> String {
     match keys {
-        [] => "nothing".into(),
+        [] => "none".into(),
         keys => keys.join(", "),
     }
 }
 
-/// Serves until told to end.
+/// Runs the daemon until it has shut down.
 ///
 /// # Errors
-/// Something that it needs cannot be had at the start.
+/// A listener, the console, the control socket or VRRP could not be started.
 pub async fn run(
     config_args: &ConfigArgs,
     mut setup: Setup,
@@ -249,15 +262,15 @@
     let Signals { mut terminate, mut report, mut reload } = signals;
     let control = setup.control.as_ref().map(|control| Control::open(&control.path)).transpose()?;
     let mut daemon = Daemon {
-        parts: JoinSet::new(),
-        cores: JoinSet::new(),
+        servers: JoinSet::new(),
+        dispatch_tasks: JoinSet::new(),
         counters: Vec::new(),
         vrrp: None,
         stop: watch::Sender::new(false),
         longest_deadline: watch::Sender::new(longest_deadline(&setup.config)),
-        serving: None,
+        state: None,
         faktory: None,
-        operators: JoinSet::new(),
+        operator_tasks: JoinSet::new(),
         logging: logging.clone(),
     };
     setup.resolved.warnings.iter().for_each(|warning| tracing::warn!("{warning}"));
@@ -265,35 +278,35 @@
         daemon.start_faktory(&setup.config, faktory).await?;
     }
     daemon.start_http(&setup.config).await?;
-    tracing::info!("{}: the list comes from {}", setup.config.name, setup.config.source);
+    tracing::info!("{}: source of the list of log workers: {}", setup.config.name, setup.config.source);
     let _control = control.map(|control| daemon.start_control(&setup.config.name, control));
-    // Apart from the loop below: nothing that it waits for holds a shutdown up.
+    // In a task of its own, so that nothing the loop below awaits can delay a shutdown.
     let stop = daemon.stop.clone();
-    let mut shutdown = JoinSet::new();
-    shutdown.spawn(async move {
+    let mut shutdown_task = JoinSet::new();
+    shutdown_task.spawn(async move {
         terminate.recv().await;
         stop.send_replace(true);
     });
-    let mut ticks = tokio::time::interval(logging::REPORT_INTERVAL);
+    let mut report_timer = tokio::time::interval(logging::REPORT_INTERVAL);
     let code = loop {
         tokio::select! {
-            _ = report.recv() => daemon.report(""),
+            _ = report.recv() => daemon.log_counters(""),
             _ = reload.recv() => daemon.reload(config_args, &mut setup).await,
-            _ = ticks.tick() => logging.report(),
-            Some(ended) = daemon.parts.join_next() => {
+            _ = report_timer.tick() => logging.report(),
+            Some(ended) = daemon.servers.join_next() => {
                 if let Err(error) = ended {
-                    tracing::error!("a part failed: {error}");
+                    tracing::error!("a server task failed: {error}");
                     break cli::FAILED;
                 }
-                if daemon.parts.is_empty() {
+                if daemon.servers.is_empty() {
                     break cli::OK;
                 }
             }
-            // Without the decisions nothing more can be answered, so the process must not linger.
-            Some(_) = daemon.cores.join_next() => break cli::FAILED,
+            // Without the dispatch decisions no request can be answered, so the process exits at once.
+            Some(_) = daemon.dispatch_tasks.join_next() => break cli::FAILED,
         }
     };
     logging.report();
-    daemon.report(" at exit");
+    daemon.log_counters(" at exit");
     Ok(ExitCode::from(code))
 }
--- a/crates/rookspoke/src/front.rs
+++ b/crates/rookspoke/src/front.rs
@@ -1,4 +1,4 @@
-//! The daemon's HTTP front: it accepts clients, and ends their connections in a graceful shutdown.
+//! The daemon's HTTP front: accepts client connections, and closes them in a graceful shutdown.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -13,79 +13,79 @@
 
 use crate::connection::{self, Context, Phase};
 use crate::logging::SHUTDOWN;
-use crate::serving::Serving;
+use crate::server_state::ServerState;
 use crate::shutdown::ShutdownPlan;
 
-/// Clients that say nothing, or stop in the middle of a request, are told so within 3 s: this leaves half a second and
-/// more for a late turn.
+/// A client that sends nothing, or stops in the middle of a request, is due an error within 3 s. These limits leave at
+/// least half a second of that for scheduling delays.
 const CLIENT_TIMEOUTS: Timeouts = Timeouts {
     first_request: Duration::from_secs(2),
     request: Duration::from_millis(2500),
     idle: Duration::from_secs(60),
     response: Duration::from_secs(10),
 };
-/// Connections that wait in the backlog when the listener closes are accepted within this time.
-const BACKLOG: Duration = Duration::from_millis(100);
+/// Time to accept the connections that are in the backlog when the listener closes.
+const BACKLOG_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Serves clients on a listener.
+/// The HTTP server for clients.
 pub struct Front {
-    serving: Serving,
-    /// Places for client connections.
+    state: ServerState,
+    /// The limit on client connections.
     limit: ConnectionLimit,
-    /// What clients wait for at most, as the configuration says now.
+    /// The longest time a client waits for a response, from the current configuration.
     longest_deadline: watch::Receiver<Duration>,
 }
 
 impl Front {
-    /// A front with places for `connections` clients, which wait for `longest_deadline` at most.
-    pub fn new(serving: Serving, connections: usize, longest_deadline: watch::Receiver<Duration>) -> Self {
-        Front { serving, limit: ConnectionLimit::new(connections, CLIENT_TIMEOUTS), longest_deadline }
+    /// A front for at most `connections` client connections, whose requests wait at most `longest_deadline`.
+    pub fn new(state: ServerState, connections: usize, longest_deadline: watch::Receiver<Duration>) -> Self {
+        Front { state, limit: ConnectionLimit::new(connections, CLIENT_TIMEOUTS), longest_deadline }
     }
 
-    /// Its places.
+    /// The limit on client connections, for adjustments while the front is serving.
     pub fn limit(&self) -> &ConnectionLimit {
         &self.limit
     }
 
-    /// Serves until `stop` ends; then shuts down by a [`ShutdownPlan`], and ends when the last connection has. A shared
-    /// listener has another process behind it: what this one does not accept is not lost, so it accepts nothing
-    /// before it is of use, and nothing after it was told to end.
+    /// Serves until `stop` completes, then shuts down by a [`ShutdownPlan`] and returns when the last connection is
+    /// closed. If the listener is `shared`, another process accepts the connections that this one does not. So this
+    /// process accepts none before it is ready, and none after `stop`.
     pub async fn serve(self, listener: TcpListener, shared: bool, stop: impl Future<Output = ()>) {
         let mut stop = std::pin::pin!(stop);
         if shared {
             tokio::select! {
-                () = self.serving.channel().ready() => {}
+                () = self.state.channel().ready() => {}
                 () = &mut stop => return,
             }
         }
-        self.serving.accepts();
+        self.state.start_accepting();
         let (phase, phases) = watch::channel(Phase::Serving);
-        let context = Context { serving: self.serving.clone(), phase: phases };
+        let context = Context { state: self.state.clone(), phase: phases };
         let mut connections = JoinSet::new();
         let mut listener = Listener::new(listener, self.limit.clone());
         self.accept(&mut listener, &mut connections, &context, stop).await;
 
-        let begun = Instant::now();
-        self.serving.leaves();
+        let shutdown_start = Instant::now();
+        self.state.begin_shutdown();
         let plan = self.plan(shared);
         if !shared {
-            let accept_until = sleep_until((begun + plan.accept_until).into());
+            let accept_until = sleep_until((shutdown_start + plan.accept_until).into());
             self.accept(&mut listener, &mut connections, &context, accept_until).await;
         }
-        self.serving.channel().begin_shutdown(ShutdownLimits {
-            body_by: begun + plan.cut_off,
-            answer_by: begun + plan.answered_by,
+        self.state.channel().begin_shutdown(ShutdownLimits {
+            body_by: shutdown_start + plan.cut_off,
+            answer_by: shutdown_start + plan.answered_by,
         });
-        let by = Instant::now() + BACKLOG;
-        while let Some((socket, permit)) = listener.last(shared, by).await {
+        let backlog_until = Instant::now() + BACKLOG_TIMEOUT;
+        while let Some((socket, permit)) = listener.last(shared, backlog_until).await {
             connections.spawn(connection::serve(context.clone(), socket, permit));
         }
-        self.log_phase("the listener is closed, open connections are still served");
-        let counters = self.serving.channel().counters();
+        self.log_phase("the listener is closed; open connections are still served");
+        let counters = self.state.channel().counters();
         (0..self.limit.census().open).for_each(|_| counters.shutdown_connections.add());
 
         let mut sweeps = std::pin::pin!(listener.shut());
-        let mut phases = std::pin::pin!(self.end_connections(plan, begun, phase));
+        let mut phases = std::pin::pin!(self.end_connections(plan, shutdown_start, phase));
         loop {
             tokio::select! {
                 ended = connections.join_next() => if ended.is_none() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Accepts connections until `end`.
+    /// Accepts connections until `end` completes.
     async fn accept(
         &self,
         listener: &mut Listener,
@@ -117,6 +117,7 @@
         }
     }
 
+    /// Computes the shutdown plan and logs it.
     fn plan(&self, shared: bool) -> ShutdownPlan {
         let longest_deadline = *self.longest_deadline.borrow();
         let plan = match shared {
@@ -133,23 +134,28 @@
         plan
     }
 
-    /// Tells connections to close when the plan says so; never ends.
-    async fn end_connections(&self, plan: ShutdownPlan, begun: Instant, phase: watch::Sender<Phase>) {
-        // Until the last of what was accepted so far is answered the process stays anyway: for a while it goes on
-        // serving those that are connected.
-        let serve_until = begun + plan.serve_until;
+    /// Advances the phase of all connections as scheduled by the plan; never completes.
+    async fn end_connections(
+        &self,
+        plan: ShutdownPlan,
+        shutdown_start: Instant,
+        phase: watch::Sender<Phase>,
+    ) {
+        // The process has to stay until the requests accepted so far are answered, so until then it keeps serving open
+        // connections, up to `serve_until`.
+        let serve_until = shutdown_start + plan.serve_until;
         let _ = tokio::time::timeout_at(serve_until.into(), self.limit.pending_answered()).await;
         phase.send_replace(Phase::Closing);
-        self.log_phase("connections close with their answers");
-        sleep_until((begun + plan.cut_off).into()).await;
+        self.log_phase("each connection closes after its next response");
+        sleep_until((shutdown_start + plan.cut_off).into()).await;
         phase.send_replace(Phase::CutOff);
-        self.log_phase("no further request is read");
-        sleep_until((begun + plan.answered_by).into()).await;
-        self.log_phase("every request of the shutdown should have its answer");
+        self.log_phase("no further requests are read");
+        sleep_until((shutdown_start + plan.answered_by).into()).await;
+        self.log_phase("every accepted request should have been answered by now");
         std::future::pending().await
     }
 
-    /// Logs a phase of the shutdown with what is open in it.
+    /// Logs a phase of the shutdown with the numbers of open connections and of pending responses.
     fn log_phase(&self, phase: &str) {
         let ConnectionCensus { open, pending } = self.limit.census();
         tracing::info!(
--- a/crates/rookspoke/src/main.rs
+++ b/crates/rookspoke/src/main.rs
@@ -10,7 +10,7 @@
 mod logging;
 mod operators;
 mod rate_limit;
-mod serving;
+mod server_state;
 mod setup;
 mod share;
 mod shutdown;
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -1,4 +1,4 @@
-//! What stands behind the console: the figures, and the log workers that are out by hand.
+//! The backend of the operators' console: metrics, and log workers ejected manually.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -13,18 +13,18 @@
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
-use crate::serving::Serving;
-use crate::share::looks;
+use crate::server_state::ServerState;
+use crate::share::poll_timer;
 
-/// Pause before a file that another process is changing is asked for again.
-const BUSY: Duration = Duration::from_millis(5);
+/// Pause before a change is retried while another process holds the lock of the ban files.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Between two looks at a folder that fails.
-const AGAIN: Duration = Duration::from_millis(50);
-/// A process that starts waits this long for a folder that fails; it has to be ready within 10 s.
-const FOLDER_PATIENCE: Duration = Duration::from_secs(3);
+/// Pause before the state folder is read again after a failure at startup.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a starting process retries to read the state folder; it has to be ready within 10 s.
+const INITIAL_READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Every front whose decisions hear of operators.
+/// The fronts to which bans are applied.
 #[derive(Clone)]
 pub struct Fronts {
     pub channel: Channel,
@@ -32,16 +32,17 @@
 }
 
 impl Fronts {
-    async fn knows(&self, worker: &str) -> bool {
+    async fn is_known(&self, worker: &str) -> bool {
         match &self.faktory {
             Some(faktory) if faktory.knows(worker).await => true,
             _ => self.channel.knows(worker).await,
         }
     }
 
-    async fn tell(&self, held: &Held) {
+    async fn apply_bans(&self, held: &Held) {
         let names: Vec<&str> = held.bans.keys().map(String::as_str).collect();
-        tracing::info!("out by hand: {}", if names.is_empty() { "none".into() } else { names.join(", ") });
+        let names = if names.is_empty() { "none".into() } else { names.join(", ") };
+        tracing::info!("manually ejected log workers: {names}");
         let ban = |(name, since): (&String, &i64)| Ban { worker: name.as_str().into(), since: Time(*since) };
         let bans: Arc<[Ban]> = held.bans.iter().map(ban).collect();
         self.channel.ban(bans.clone()).await;
@@ -51,136 +52,142 @@
     }
 }
 
-/// Log workers out by hand: what the files say, and the decisions have been told.
-pub struct Bans {
+/// Keeps the bans of the fronts in step with the ban files: log workers that operators ejected manually.
+pub struct BanSync {
     store: Store,
     fronts: Fronts,
-    /// What holds in this process. Files are read and written with this in hand, so that what was read first is
-    /// told first.
-    view: Mutex<View>,
+    /// The bans in effect in this process. Locked while files are read or written, so that changes are applied to the
+    /// fronts in the order in which they were read.
+    current: Mutex<CurrentBans>,
 }
 
-/// What holds in this process.
+/// The bans in effect in this process.
 #[derive(Default)]
-struct View {
+struct CurrentBans {
     held: Held,
-    /// Of the files that were read last.
-    stamp: Option<Stamp>,
-    /// Why they could not be read, if they could not.
+    /// Version of the files when they were last read.
+    file_version: Option<Stamp>,
+    /// The error of the last read, if it failed; an unchanged error is not logged again.
     error: Option<String>,
 }
 
-impl Bans {
+impl BanSync {
     pub fn new(store: Store, fronts: Fronts) -> Self {
-        Bans { store, fronts, view: Mutex::default() }
+        BanSync { store, fronts, current: Mutex::default() }
     }
 
-    /// Takes what the files say before anything is sent. A folder that fails is asked again for a while: what was taken
-    /// out by hand still is.
-    pub async fn first_look(&self) {
-        let by = Instant::now() + FOLDER_PATIENCE;
-        while !self.look().await && Instant::now() < by {
-            sleep(AGAIN).await;
+    /// Applies the bans in the files before anything is sent to a log worker. Failed reads are retried for a while,
+    /// since bans from before a restart remain in effect.
+    pub async fn load_initial(&self) {
+        let give_up_at = Instant::now() + INITIAL_READ_TIMEOUT;
+        while !self.poll_files().await && Instant::now() < give_up_at {
+            sleep(READ_RETRY_INTERVAL).await;
         }
     }
 
-    /// Takes what the files say, if they say something new; false if they cannot be read, and are to be looked at again.
-    async fn look(&self) -> bool {
-        let mut view = self.view.lock().await;
-        let stamp = self.store.stamp();
-        if view.stamp == Some(stamp) {
+    /// Applies the bans in the files if the files have changed. Returns false if they could not be read and have to be
+    /// polled again.
+    async fn poll_files(&self) -> bool {
+        let mut current = self.current.lock().await;
+        let file_version = self.store.stamp();
+        if current.file_version == Some(file_version) {
             return true;
         }
         match self.store.read() {
             Ok((new, damage)) => {
                 if let Some(damage) = damage {
-                    tracing::error!("log workers out by hand: the other file tells them: {damage}");
+                    tracing::error!(
+                        "manually ejected log workers: one of the two files is damaged, using the other: {damage}"
+                    );
                 }
-                if view.held != new {
-                    self.fronts.tell(&new).await;
-                    view.held = new;
+                if current.held != new {
+                    self.fronts.apply_bans(&new).await;
+                    current.held = new;
                 }
-                (view.stamp, view.error) = (Some(stamp), None);
+                (current.file_version, current.error) = (Some(file_version), None);
                 true
             }
-            // What holds in this process goes on, and is written with the next change.
+            // The bans in this process stay in effect, and the next change writes them to the files.
             Err(error) => {
                 let error = error.to_string();
-                if view.error.as_ref() != Some(&error) {
-                    tracing::error!("log workers out by hand: {error}");
+                if current.error.as_ref() != Some(&error) {
+                    tracing::error!("cannot read the manually ejected log workers: {error}");
                 }
-                view.error = Some(error);
+                current.error = Some(error);
                 false
             }
         }
     }
 
-    async fn change(&self, worker: &str, out: bool) -> Result<(), No> {
-        let mut view = self.view.lock().await;
-        // Not the wall clock: it may be stepped, and this is compared with what the decisions' clock says.
+    /// Ejects a log worker, or ends its ejection, in the files and in the fronts.
+    async fn set_banned(&self, worker: &str, banned: bool) -> Result<(), No> {
+        let mut current = self.current.lock().await;
+        // Not the wall clock, which may be stepped: the time is compared with the clock of the dispatch decisions.
         let now = self.fronts.channel.now().0;
         let new = loop {
-            match self.store.change(worker, out, now, &view.held) {
+            match self.store.change(worker, banned, now, &current.held) {
                 Ok(new) => break new,
-                Err(BanError::Busy(_)) => sleep(BUSY).await,
+                Err(BanError::Busy(_)) => sleep(LOCK_RETRY_INTERVAL).await,
                 Err(error) => return Err(No::Failed(error.to_string())),
             }
         };
-        self.fronts.tell(&new).await;
-        view.held = new;
+        self.fronts.apply_bans(&new).await;
+        current.held = new;
         Ok(())
     }
 
-    /// Looks at the files for as long as it is polled.
-    pub async fn follow(self: Arc<Self>) {
-        let mut looks = looks();
+    /// Polls the files at every poll interval; never completes.
+    pub async fn run(self: Arc<Self>) {
+        let mut timer = poll_timer();
         loop {
-            looks.tick().await;
-            self.look().await;
+            timer.tick().await;
+            self.poll_files().await;
         }
     }
 }
 
-/// The desk behind the console.
+/// Implements the operations of the console.
 #[derive(Clone)]
-pub struct Operators {
-    pub serving: Serving,
+pub struct ConsoleBackend {
+    pub state: ServerState,
     pub counters: Arc<[Arc<Counters>]>,
-    pub bans: Option<Arc<Bans>>,
+    pub bans: Option<Arc<BanSync>>,
 }
 
-impl Operators {
-    fn of_class(
+impl ConsoleBackend {
+    /// Appends a line for each class with the sum of a counter over all fronts.
+    fn write_class_metric(
         &self,
         text: &mut String,
         name: &str,
-        of: fn(&rookspoke_dispatch::ClassCounters) -> &Counter,
+        counter: fn(&rookspoke_dispatch::ClassCounters) -> &Counter,
     ) {
         let Some(first) = self.counters.first() else { return };
-        for (at, class) in first.classes.iter().enumerate() {
-            let total: u64 =
-                self.counters.iter().filter_map(|c| c.classes.get(at)).map(|c| of(c).get()).sum();
+        for (index, class) in first.classes.iter().enumerate() {
+            let of_class = self.counters.iter().filter_map(|counters| counters.classes.get(index));
+            let total: u64 = of_class.map(|class| counter(class).get()).sum();
             let _ = writeln!(text, "proxy.{name}.{}:{total}|c", class.name);
         }
     }
 }
 
-impl Desk for Operators {
+impl Desk for ConsoleBackend {
     fn ready(&self) -> bool {
-        self.serving.is_ready()
+        self.state.is_ready()
     }
 
     fn figures(&self) -> String {
         let mut text = String::new();
-        self.of_class(&mut text, "passed", |class| &class.served);
-        self.of_class(&mut text, "dropped", |class| &class.refused);
-        self.of_class(&mut text, "bad_gateway", |class| &class.failed);
-        let sum = |of: fn(&Counters) -> u64| self.counters.iter().map(|counters| of(counters)).sum::<u64>();
+        self.write_class_metric(&mut text, "passed", |class| &class.served);
+        self.write_class_metric(&mut text, "dropped", |class| &class.refused);
+        self.write_class_metric(&mut text, "bad_gateway", |class| &class.failed);
+        let sum =
+            |value: fn(&Counters) -> u64| self.counters.iter().map(|counters| value(counters)).sum::<u64>();
         for (name, total, kind) in [
-            ("upstream_tries", sum(|c| c.written.get()), 'c'),
-            ("in_progress", sum(|c| c.now.open.get()), 'g'),
-            ("known_log_workers", sum(|c| c.now.known.get()), 'g'),
-            ("skipped_log_workers", sum(|c| c.now.skipped.get()), 'g'),
+            ("upstream_tries", sum(|counters| counters.written.get()), 'c'),
+            ("in_progress", sum(|counters| counters.now.open.get()), 'g'),
+            ("known_log_workers", sum(|counters| counters.now.known.get()), 'g'),
+            ("skipped_log_workers", sum(|counters| counters.now.skipped.get()), 'g'),
         ] {
             let _ = writeln!(text, "proxy.{name}:{total}|{kind}");
         }
@@ -190,15 +197,17 @@
     async fn set_out(&self, worker: &str, out: bool) -> Result<(), No> {
         let Some(bans) = &self.bans else {
             return Err(No::Failed(
-                "found no folder for `state`, expected one that outlives this process".into(),
+                "found no `state` folder in the configuration, expected one that outlives this process"
+                    .into(),
             ));
         };
-        if !bans.fronts.knows(worker).await {
+        if !bans.fronts.is_known(worker).await {
             return Err(No::Unknown);
         }
-        // Begun, it is done: a caller that leaves must not part the files from the decisions.
+        // A task of its own, which completes even if the caller disconnects: otherwise the files could change without
+        // the fronts.
         let (bans, worker) = (bans.clone(), worker.to_owned());
-        let done = tokio::spawn(async move { bans.change(&worker, out).await });
-        done.await.unwrap_or_else(|error| Err(No::Failed(error.to_string())))
+        let change = tokio::spawn(async move { bans.set_banned(&worker, out).await });
+        change.await.unwrap_or_else(|error| Err(No::Failed(error.to_string())))
     }
 }
--- a/crates/rookspoke/src/share.rs
+++ b/crates/rookspoke/src/share.rs
@@ -1,4 +1,4 @@
-//! Descriptors, while two versions of a dispatcher live on those of one.
+//! Sharing of the file descriptor budget while two processes of one dispatcher run during an upgrade.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,68 +7,79 @@
 use rookspoke_state::tenancy::Tenancy;
 use tokio::time::{interval, Interval, MissedTickBehavior};
 
-use crate::serving::Serving;
+use crate::server_state::ServerState;
 
-/// How often the folder is looked at for another process of this dispatcher and what it has changed.
-const LOOK: Duration = Duration::from_millis(100);
-/// Client connections, as a part of the descriptors.
-const CLIENT_PART: f64 = 0.5;
-/// The same while another process lives; the channel keeps to as little of its own part.
-const SHARED_CLIENT_PART: f64 = 0.27;
-/// What two processes need besides connections: their listeners, consoles, files, the runtime.
-const APART: usize = 80;
+/// Interval at which the state folder is polled for another process of this dispatcher and for its changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Client connections as a fraction of the descriptors.
+const CLIENT_FRACTION: f64 = 0.5;
+/// The same fraction while another process is running; the channel reduces its own fraction likewise.
+const SHARED_CLIENT_FRACTION: f64 = 0.27;
+/// Descriptors that two processes need for other purposes: listeners, consoles, files, the runtime.
+const RESERVED_DESCRIPTORS: usize = 80;
 
-/// When the folder is looked at.
-pub fn looks() -> Interval {
-    let mut looks = interval(LOOK);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    looks
+/// A timer for polling the state folder.
+pub fn poll_timer() -> Interval {
+    let mut timer = interval(POLL_INTERVAL);
+    timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    timer
 }
 
-/// How many clients a process alone has room for.
-pub fn clients(sockets: usize) -> usize {
-    (sockets as f64 * CLIENT_PART) as usize
+/// Maximum number of client connections while no other process is running.
+pub fn client_limit(sockets: usize) -> usize {
+    (sockets as f64 * CLIENT_FRACTION) as usize
 }
 
-fn shared_clients(sockets: usize) -> usize {
-    // However few there are, some clients must get in.
-    ((sockets.saturating_sub(APART)) as f64 * SHARED_CLIENT_PART).max(8.0) as usize
+/// Maximum number of client connections while another process is running.
+fn shared_client_limit(sockets: usize) -> usize {
+    // At least 8, however few descriptors there are: some clients must be admitted.
+    ((sockets.saturating_sub(RESERVED_DESCRIPTORS)) as f64 * SHARED_CLIENT_FRACTION).max(8.0) as usize
 }
 
-/// Keeps to half of the descriptors for as long as another process lives.
-pub struct Share {
-    tenancy: Tenancy,
+/// Limits this process to half of the descriptors while another process of the dispatcher is running.
+pub struct DescriptorShare {
+    lease: Tenancy,
     limit: ConnectionLimit,
     sockets: usize,
     shared: bool,
 }
 
-impl Share {
-    /// Takes a place in the folder; none if that cannot be had, which costs nothing but this care.
-    pub fn take(folder: &Path, limit: ConnectionLimit, sockets: usize) -> Option<Self> {
-        let tenancy = Tenancy::take(folder).inspect_err(|error| {
-            tracing::warn!("another process would not be seen: {}: {error}", folder.display());
+impl DescriptorShare {
+    /// Takes a process lease in the state folder. If that fails, the error is logged and `None` returned: the process
+    /// runs as usual, but does not detect another one.
+    pub fn acquire(folder: &Path, limit: ConnectionLimit, sockets: usize) -> Option<Self> {
+        let lease = Tenancy::take(folder).inspect_err(|error| {
+            tracing::warn!(
+                "another process of this dispatcher would not be detected: {}: {error}",
+                folder.display()
+            );
         });
-        tenancy.ok().map(|tenancy| Share { tenancy, limit, sockets, shared: false })
+        lease.ok().map(|lease| DescriptorShare { lease, limit, sockets, shared: false })
     }
 
-    /// Looks for the other process once.
-    pub fn look(&mut self, serving: &Serving) {
-        let shared = self.tenancy.is_shared().unwrap_or(self.shared);
+    /// Checks once whether another process is running, and adapts the connection limits to it.
+    pub fn update(&mut self, state: &ServerState) {
+        let shared = self.lease.is_shared().unwrap_or(self.shared);
         if shared != self.shared {
             self.shared = shared;
-            tracing::info!("{}", if shared { "another process lives" } else { "this process is alone" });
-            self.limit.resize(if shared { shared_clients(self.sockets) } else { clients(self.sockets) });
-            serving.channel().share(shared.then_some(APART));
+            tracing::info!(
+                "{} process of this dispatcher is running",
+                if shared { "another" } else { "no other" }
+            );
+            self.limit.resize(match shared {
+                true => shared_client_limit(self.sockets),
+                false => client_limit(self.sockets),
+            });
+            state.channel().share(shared.then_some(RESERVED_DESCRIPTORS));
         }
     }
 
-    /// Looks for as long as it is polled.
-    pub async fn keep(mut self, serving: Serving) {
-        let mut looks = looks();
+    /// Checks at every poll interval; never completes.
+    pub async fn run(mut self, state: ServerState) {
+        let mut timer = poll_timer();
         loop {
-            looks.tick().await;
-            self.look(&serving);
+            timer.tick().await;
+            self.update(&state);
         }
     }
 }
--- a/crates/rookspoke/tests/commands.rs
+++ b/crates/rookspoke/tests/commands.rs
@@ -42,14 +42,14 @@
     // Valid in itself, with one part that only a restart heeds.
     daemon.replace_site(&site(&[&two], "name another\n"));
     daemon.signal("HUP");
-    let line = daemon.wait_log("heeded only after a restart");
+    let line = daemon.wait_log("settings in effect only after a restart");
     assert!(line.ends_with("restart: name"), "{line}");
     daemon.wait_counters("http", &["lists=2"]);
     assert_eq!(ask(http, &post("log-lookup", "0000000000000002", 5000, "")).text(), "from two");
     // One that makes no sense changes nothing, and says where.
     daemon.replace_site("listen 127.0.0.1:0\nclass {\n");
     daemon.signal("HUP");
-    let line = daemon.wait_log("stays as it is");
+    let line = daemon.wait_log("new configuration rejected");
     assert!(line.contains("site.conf:2:1: "), "{line}");
     assert_eq!(ask(http, &post("log-lookup", "0000000000000003", 5000, "")).text(), "from two");
     assert_eq!(one.count(), 1);
--- a/crates/rookspoke/tests/operators.rs
+++ b/crates/rookspoke/tests/operators.rs
@@ -177,7 +177,7 @@
     assert_eq!(spread(&place, &all, 20), [0, 20]);
     wait_for("skipped", || (daemon.figure("skipped_log_workers") == 1).then_some(()));
     daemon.signal("HUP");
-    daemon.wait_log("told to reload");
+    daemon.wait_log("SIGHUP received: settings in effect now: ");
     assert_eq!(spread(&place, &all, 10), [0, 10]);
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time");
     let mut restarted = one.entry("active");
@@ -339,7 +339,7 @@
     let before = crowd();
     wait_for("a full room", || (old.descriptors() > 80).then_some(()));
     let new = place.ready();
-    old.wait_log("another process lives");
+    old.wait_log("another process of this dispatcher is running");
     let after = crowd();
     let most = (0..40).map(|_| {
         thread::sleep(Duration::from_millis(20));
@@ -350,7 +350,7 @@
     assert!(most <= 160, "{most} descriptors");
     assert_eq!(ask(place.clients(), &job("log-lookup", 1)).status, 200);
     drop((before, after, old));
-    new.wait_log("this process is alone");
+    new.wait_log("no other process of this dispatcher is running");
 }
 
 /// What was asked of the old process is answered by it, though it has been told to end.
--- a/crates/rookspoke/tests/reload.rs
+++ b/crates/rookspoke/tests/reload.rs
@@ -33,14 +33,14 @@
     // A file that makes no sense changes nothing.
     daemon.replace("{\"name\": ");
     daemon.signal("HUP");
-    daemon.wait_log("the configuration stays as it is: PROXY_CONFIG: ");
+    daemon.wait_log("new configuration rejected: PROXY_CONFIG: ");
     assert_eq!((old.watches.load(Ordering::SeqCst), new.watches.load(Ordering::SeqCst)), (1, 0));
 
     file["discovery"] = new.address.to_string().into();
     file["listen"] = "127.0.0.1:1".into();
     daemon.replace(&file.to_string());
     daemon.signal("HUP");
-    let line = daemon.wait_log("heeded only after a restart");
+    let line = daemon.wait_log("settings in effect only after a restart");
     assert!(line.ends_with("restart: listen"), "{line}");
     daemon.wait_counters("http", &["lists=2"]);
     wait_for("the end of the old watch", || (old.open.load(Ordering::SeqCst) == 0).then_some(()));
