--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,5 +1,5 @@
 //! The operators' address: HTTP/1.1, one call to a connection. It decides nothing; what it needs of a dispatcher is
-//! a [`Desk`].
+//! a [`OperatorInterface`].
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -19,10 +19,10 @@
 use tokio::task::JoinSet;
 use tower::{Service, ServiceExt};
 
-use rookspoke_guard::{ConnectionLimit, Listener, Permit, Socket, Timeouts};
+use rookspoke_guard::{ClientSocket, ConnectionLimit, Listener, Permit, Timeouts};
 
 /// Callers at a time: a few operators and programs, and as many who say nothing. The oldest of these leaves first.
-pub const PLACES: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Callers that say nothing, or half a call, and then do not read, are let go after this.
 const SILENT: Duration = Duration::from_secs(3);
 const CALLER_TIMEOUTS: Timeouts =
@@ -42,30 +42,30 @@
 
 /// Why a log worker is not taken out, or put back.
 #[derive(Debug, Error)]
-pub enum No {
+pub enum EjectionError {
     /// Nobody has this id.
     #[error("found no log worker of this id, expected one that is listed or out by hand")]
-    Unknown,
+    UnknownWorker,
     /// It cannot be done now.
     #[error("{0}")]
     Failed(String),
 }
 
 /// What a console needs of the dispatcher behind it.
-pub trait Desk: Clone + Send + Sync + 'static {
+pub trait OperatorInterface: Clone + Send + Sync + 'static {
     /// Whether the dispatcher is ready to serve.
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
     /// The figures, a line each.
-    fn figures(&self) -> String;
+    fn metrics(&self) -> String;
     /// Takes a log worker out, or puts it back. Once this says yes, that holds, and outlives the process.
-    fn set_out(&self, worker: &str, out: bool) -> impl Future<Output = Result<(), No>> + Send;
+    fn set_ejected(&self, worker: &str, out: bool) -> impl Future<Output = Result<(), EjectionError>> + Send;
 }
 
 /// Answers calls.
 #[derive(Clone, Debug)]
-pub struct Calls<D>(pub D);
+pub struct ConsoleService<D>(pub D);
 
-impl<D: Desk> Service<Request<Bytes>> for Calls<D> {
+impl<D: OperatorInterface> Service<Request<Bytes>> for ConsoleService<D> {
     type Response = Response<Full<Bytes>>;
     type Error = Infallible;
     type Future = futures_util::future::BoxFuture<'static, Result<Self::Response, Infallible>>;
@@ -131,19 +131,20 @@
     }
 }
 
-async fn answer(desk: &impl Desk, request: Request<Bytes>) -> Response<Full<Bytes>> {
+async fn answer(desk: &impl OperatorInterface, request: Request<Bytes>) -> Response<Full<Bytes>> {
     let asked = match Asked::read(request.method(), request.uri().path()) {
         Ok(asked) => asked,
         Err((status, text)) => return plain(status, text),
     };
     match asked {
-        Asked::Ready if desk.ready() => plain(StatusCode::OK, "ready"),
+        Asked::Ready if desk.is_ready() => plain(StatusCode::OK, "ready"),
         Asked::Ready => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        Asked::Counters => plain(StatusCode::OK, desk.figures()),
+        Asked::Counters => plain(StatusCode::OK, desk.metrics()),
         Asked::Set { worker, out } => {
             let to = if out { "offline" } else { "online" };
-            let done = tokio::time::timeout(DUE, desk.set_out(&worker, out)).await;
-            let done = done.unwrap_or_else(|_| Err(No::Failed("not done in time; ask again".into())));
+            let done = tokio::time::timeout(DUE, desk.set_ejected(&worker, out)).await;
+            let done =
+                done.unwrap_or_else(|_| Err(EjectionError::Failed("not done in time; ask again".into())));
             match done {
                 Ok(()) => {
                     tracing::info!("operators: {worker} is {to}");
@@ -152,8 +153,8 @@
                 Err(no) => {
                     tracing::warn!("operators: {worker} is not {to}: {no}");
                     let status = match no {
-                        No::Unknown => StatusCode::NOT_FOUND,
-                        No::Failed(_) => StatusCode::SERVICE_UNAVAILABLE,
+                        EjectionError::UnknownWorker => StatusCode::NOT_FOUND,
+                        EjectionError::Failed(_) => StatusCode::SERVICE_UNAVAILABLE,
                     };
                     plain(status, no.to_string())
                 }
@@ -174,22 +175,22 @@
 }
 
 /// Answers on a listener for as long as it is polled.
-pub async fn serve<D: Desk>(listener: TcpListener, desk: D) {
-    let limit = ConnectionLimit::new(PLACES, CALLER_TIMEOUTS);
+pub async fn serve<D: OperatorInterface>(listener: TcpListener, desk: D) {
+    let limit = ConnectionLimit::new(MAX_CONNECTIONS, CALLER_TIMEOUTS);
     let mut listener = Listener::new(listener, limit);
     let mut callers = JoinSet::new();
     loop {
         tokio::select! {
-            (socket, permit) = listener.next() => drop(callers.spawn(serve_one(socket, permit, desk.clone()))),
+            (socket, permit) = listener.accept() => drop(callers.spawn(serve_one(socket, permit, desk.clone()))),
             Some(_) = callers.join_next() => {}
         }
     }
 }
 
-async fn serve_one<D: Desk>(socket: Socket, permit: Permit, desk: D) {
+async fn serve_one<D: OperatorInterface>(socket: ClientSocket, permit: Permit, desk: D) {
     let owed = permit.clone();
     let service = service_fn(move |request| {
-        let (calls, permit) = (Calls(desk.clone()), owed.clone());
+        let (calls, permit) = (ConsoleService(desk.clone()), owed.clone());
         async move {
             match whole(request).await {
                 Ok(request) => {
--- a/crates/faktory/src/server.rs
+++ b/crates/faktory/src/server.rs
@@ -21,7 +21,7 @@
     Ban, ClassId, Effect, ListScope, Listing, Name, Outcome, Settings, SettingsError, Span,
 };
 use rookspoke_dispatch::{request_span, Answer, Ask, Clock, Core, Counters, Handle, Limits};
-use rookspoke_guard::{ConnectionLimit, Listener, Permit, Socket};
+use rookspoke_guard::{ClientSocket, ConnectionLimit, Listener, Permit};
 
 /// A FETCH that finds nothing waits this long, as the specification has it.
 const FETCH_WAIT: Duration = Duration::from_secs(2);
@@ -157,7 +157,7 @@
         let mut finish = std::pin::pin!(finish);
         loop {
             tokio::select! {
-                (socket, permit) = listener.next() => self.open(socket, permit, &mut connections),
+                (socket, permit) = listener.accept() => self.open(socket, permit, &mut connections),
                 Some(_) = connections.join_next() => {}
                 _ = sweep.tick() => {
                     let ago = |time| Instant::now().checked_sub(time);
@@ -175,7 +175,7 @@
         let _ = timeout(LAST_REPLIES, last).await;
     }
 
-    fn open(&self, socket: Socket, permit: Permit, connections: &mut JoinSet<()>) {
+    fn open(&self, socket: ClientSocket, permit: Permit, connections: &mut JoinSet<()>) {
         let shared = self.shared.clone();
         connections.spawn(async move {
             let frames = Framed::new(socket, Codec::default());
@@ -266,7 +266,7 @@
 
 struct Connection {
     shared: Arc<Shared>,
-    frames: Framed<Socket, Codec>,
+    frames: Framed<ClientSocket, Codec>,
     /// A command that came while another was waiting.
     next: Option<Option<io::Result<Result<Command, BadCommand>>>>,
     wid: Option<Name>,
@@ -351,7 +351,7 @@
     /// Ends only when the client is gone. A command that comes early is kept for later; what lies behind it is not
     /// read, but the socket still tells of its end.
     async fn gone(&mut self) {
-        let end = self.frames.get_ref().end();
+        let end = self.frames.get_ref().handle();
         if self.next.is_none() {
             match self.frames.next().await {
                 None | Some(Err(_)) => return,
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -6,6 +6,6 @@
 mod listener;
 mod socket;
 
-pub use limit::{ConnectionCensus, ConnectionLimit, Permit, Timeouts};
+pub use limit::{ConnectionCounts, ConnectionLimit, Permit, Timeouts};
 pub use listener::Listener;
-pub use socket::{CutOff, Framed, Socket, SocketEnd};
+pub use socket::{ClientSocket, CutOff, FramedSocket, SocketHandle};
--- a/crates/guard/src/limit.rs
+++ b/crates/guard/src/limit.rs
@@ -65,7 +65,7 @@
 
 /// How many connections there are at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConnectionCensus {
+pub struct ConnectionCounts {
     /// All of them.
     pub open: usize,
     /// Those whose client waits for an answer, or for the rest of one.
@@ -121,14 +121,14 @@
     }
 
     /// How many connections there are, and how many of them wait for an answer.
-    pub fn census(&self) -> ConnectionCensus {
+    pub fn counts(&self) -> ConnectionCounts {
         let entries = self.0.lock();
         let pending = entries.open.values().filter(|entry| entry.state >= State::Responding).count();
-        ConnectionCensus { open: entries.open.len(), pending }
+        ConnectionCounts { open: entries.open.len(), pending }
     }
 
     /// Ends when a place has become free since the last time.
-    pub async fn freed(&self) {
+    pub async fn slot_freed(&self) {
         self.0.freed.notified().await;
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Tells those to close who took too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let (now, timeouts) = (Instant::now(), self.0.timeouts);
         let mut entries = self.0.lock();
         let Entries { open, closing, .. } = &mut *entries;
--- a/crates/guard/src/listener.rs
+++ b/crates/guard/src/listener.rs
@@ -5,7 +5,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Interval, MissedTickBehavior};
 
-use super::{ConnectionLimit, Permit, Socket};
+use super::{ClientSocket, ConnectionLimit, Permit};
 
 /// How often connections are looked through for those that took too long.
 const SWEEP: Duration = Duration::from_millis(100);
@@ -24,7 +24,7 @@
     limit: ConnectionLimit,
     sweep: Interval,
     /// Accepted, and waiting for somebody else to leave.
-    waiting: Option<Socket>,
+    waiting: Option<ClientSocket>,
     accepts: u32,
 }
 
@@ -35,10 +35,10 @@
     }
 
     /// The next connection. Dropping the future loses none.
-    pub async fn next(&mut self) -> (Socket, Permit) {
+    pub async fn accept(&mut self) -> (ClientSocket, Permit) {
         loop {
             if let Some(socket) = self.waiting.take() {
-                match self.limit.admit(socket.unread()) {
+                match self.limit.admit(socket.unread_check()) {
                     Some(permit) => return (socket, permit),
                     None => self.waiting = Some(socket),
                 }
@@ -46,7 +46,7 @@
             tokio::select! {
                 accepted = self.listener.accept(), if self.waiting.is_none() => match accepted {
                     Ok((stream, _)) => {
-                        self.waiting = Some(Socket::new(stream));
+                        self.waiting = Some(ClientSocket::new(stream));
                         self.accepts += 1;
                         if self.accepts.is_multiple_of(ACCEPTS) {
                             tokio::task::yield_now().await;
@@ -57,8 +57,8 @@
                         tokio::time::sleep(PAUSE).await;
                     }
                 },
-                () = self.limit.freed(), if self.waiting.is_some() => {}
-                _ = self.sweep.tick() => self.limit.sweep(),
+                () = self.limit.slot_freed(), if self.waiting.is_some() => {}
+                _ = self.sweep.tick() => self.limit.close_expired(),
             }
         }
     }
@@ -66,20 +66,20 @@
     /// A connection that has come already, before it is shut: its client would see a reset. Of a `shared`
     /// listener only those that are accepted: the others are for whoever shares it. However many come, it ends by `by`;
     /// an accept that fails for a moment is tried again until then.
-    pub async fn last(&mut self, shared: bool, by: Instant) -> Option<(Socket, Permit)> {
+    pub async fn accept_remaining(&mut self, shared: bool, by: Instant) -> Option<(ClientSocket, Permit)> {
         let socket = match self.waiting.take() {
             Some(socket) => socket,
             None if shared => return None,
             None => self.accept_waiting(by).await?,
         };
-        let permit = self.limit.admit_over_limit(socket.unread());
+        let permit = self.limit.admit_over_limit(socket.unread_check());
         Some((socket, permit))
     }
 
-    async fn accept_waiting(&self, by: Instant) -> Option<Socket> {
+    async fn accept_waiting(&self, by: Instant) -> Option<ClientSocket> {
         while Instant::now() < by {
             match tokio::time::timeout(LATE, self.listener.accept()).await {
-                Ok(Ok((stream, _))) => return Some(Socket::new(stream)),
+                Ok(Ok((stream, _))) => return Some(ClientSocket::new(stream)),
                 Ok(Err(error)) => {
                     tracing::warn!("accept: {error}");
                     tokio::time::sleep(SHORT_PAUSE).await;
@@ -92,12 +92,12 @@
     }
 
     /// Lets nobody in any more, and goes on looking for those who take too long.
-    pub async fn shut(self) {
+    pub async fn close_and_sweep(self) {
         drop(self.listener);
         let mut sweep = self.sweep;
         loop {
             sweep.tick().await;
-            self.limit.sweep();
+            self.limit.close_expired();
         }
     }
 }
--- a/crates/guard/src/socket.rs
+++ b/crates/guard/src/socket.rs
@@ -21,18 +21,18 @@
 const READ: usize = 8 * 1024;
 
 /// A socket that can be looked at from elsewhere.
-pub struct Socket(Arc<TcpStream>);
+pub struct ClientSocket(Arc<TcpStream>);
 
-impl Socket {
+impl ClientSocket {
     /// Takes a stream over.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Socket(Arc::new(stream))
+        ClientSocket(Arc::new(stream))
     }
 
     /// Tells whether bytes wait on the socket, read by nobody; asked of the system itself, since the runtime
     /// hears of them only between two tasks.
-    pub fn unread(&self) -> impl Fn() -> bool + Send + 'static {
+    pub fn unread_check(&self) -> impl Fn() -> bool + Send + 'static {
         let stream = Arc::downgrade(&self.0);
         move || stream.upgrade().is_some_and(|stream| peek(&stream).is_ok_and(|bytes| bytes > 0))
     }
@@ -78,16 +78,16 @@
 const DISCARDED: usize = 256 * 1024;
 
 /// A second hold on a client's socket, for its end.
-pub struct SocketEnd(Arc<TcpStream>);
+pub struct SocketHandle(Arc<TcpStream>);
 
-impl Socket {
+impl ClientSocket {
     /// A second hold on it: the socket stays open until this is dropped, too.
-    pub fn end(&self) -> SocketEnd {
-        SocketEnd(self.0.clone())
+    pub fn handle(&self) -> SocketHandle {
+        SocketHandle(self.0.clone())
     }
 }
 
-impl SocketEnd {
+impl SocketHandle {
     /// Ends once the client has closed its side or reset the connection, also where that lies behind bytes that nobody
     /// has read.
     pub async fn closed_by_client(&self) {
@@ -136,7 +136,7 @@
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -164,7 +164,7 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
@@ -194,9 +194,9 @@
 }
 
 /// A socket whose requests are followed: its place in the room is told what it is at.
-pub struct Framed {
+pub struct FramedSocket {
     // Before the place: that is free only once the socket is closed.
-    socket: Socket,
+    socket: ClientSocket,
     framing: Framing,
     /// Read, judged, and not passed on yet.
     judged: BytesMut,
@@ -218,12 +218,12 @@
     }
 }
 
-impl Framed {
+impl FramedSocket {
     /// Follows a socket; `answers` counts the answers given on it.
-    pub fn new(socket: Socket, permit: Permit, answers: Arc<AtomicU64>) -> Self {
+    pub fn new(socket: ClientSocket, permit: Permit, answers: Arc<AtomicU64>) -> Self {
         let (framing, judged) = (Framing::default(), BytesMut::new());
         let (count, cut_off) = (Count::default(), CutOff::default());
-        Framed { socket, framing, judged, count, answers, cut_off, permit }
+        FramedSocket { socket, framing, judged, count, answers, cut_off, permit }
     }
 
     /// How to cut off a head that does not end.
@@ -246,7 +246,7 @@
     }
 }
 
-impl AsyncRead for Framed {
+impl AsyncRead for FramedSocket {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let this = &mut *self;
         while this.judged.is_empty() && !this.framing.is_lost() {
@@ -274,7 +274,7 @@
     }
 }
 
-impl AsyncWrite for Framed {
+impl AsyncWrite for FramedSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         if self.count.whole <= self.answers.load(Ordering::Acquire) {
             self.permit.response_started();
--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -16,7 +16,7 @@
 use tower::Service;
 
 use rookspoke_channel::{plain, ResponseBody, MAX_BUFFER};
-use rookspoke_guard::{Framed, Permit, Socket};
+use rookspoke_guard::{ClientSocket, FramedSocket, Permit};
 
 use crate::serving::Serving;
 
@@ -60,12 +60,12 @@
 }
 
 /// Serves one connection to its end.
-pub async fn serve(context: Context, socket: Socket, permit: Permit) {
+pub async fn serve(context: Context, socket: ClientSocket, permit: Permit) {
     let Context { serving, mut phase } = context;
     let counters = serving.channel().counters().clone();
     let answers = Answers::default();
-    let (unread, end) = (socket.unread(), socket.end());
-    let framed = Framed::new(socket, permit.clone(), answers.given.clone());
+    let (unread, end) = (socket.unread_check(), socket.handle());
+    let framed = FramedSocket::new(socket, permit.clone(), answers.given.clone());
     let cut_off = framed.cut_off();
     let service = {
         let (answers, phase) = (answers.clone(), phase.clone());
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -9,7 +9,7 @@
 use rookspoke_config::Config;
 use rookspoke_dispatch::Counters;
 use rookspoke_faktory::{self as faktory, FaktoryConfig};
-use rookspoke_state::bans::Store;
+use rookspoke_state::bans::BanStore;
 use rookspoke_vrrp as vrrp;
 use thiserror::Error;
 use tokio::net::TcpListener;
@@ -124,7 +124,7 @@
         serving: Serving,
     ) -> Result<(), StartError> {
         let at = listener.local_addr().map_err(|e| StartError::Io("console", e))?;
-        let store = config.state.as_ref().map(Store::new);
+        let store = config.state.as_ref().map(BanStore::new);
         let fronts = Fronts { channel: serving.channel().clone(), faktory: self.faktory.clone() };
         let bans = store.map(|store| Arc::new(Bans::new(store, fronts)));
         if let Some(bans) = &bans {
--- a/crates/rookspoke/src/front.rs
+++ b/crates/rookspoke/src/front.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep_until;
 
 use rookspoke_channel::ShutdownLimits;
-use rookspoke_guard::{ConnectionCensus, ConnectionLimit, Listener, Timeouts};
+use rookspoke_guard::{ConnectionCounts, ConnectionLimit, Listener, Timeouts};
 
 use crate::connection::{self, Context, Phase};
 use crate::logging::SHUTDOWN;
@@ -77,14 +77,14 @@
             answer_by: begun + plan.answered_by,
         });
         let by = Instant::now() + BACKLOG;
-        while let Some((socket, permit)) = listener.last(shared, by).await {
+        while let Some((socket, permit)) = listener.accept_remaining(shared, by).await {
             connections.spawn(connection::serve(context.clone(), socket, permit));
         }
         self.log_phase("the listener is closed, open connections are still served");
         let counters = self.serving.channel().counters();
-        (0..self.limit.census().open).for_each(|_| counters.shutdown_connections.add());
+        (0..self.limit.counts().open).for_each(|_| counters.shutdown_connections.add());
 
-        let mut sweeps = std::pin::pin!(listener.shut());
+        let mut sweeps = std::pin::pin!(listener.close_and_sweep());
         let mut phases = std::pin::pin!(self.end_connections(plan, begun, phase));
         loop {
             tokio::select! {
@@ -108,7 +108,7 @@
         let mut end = std::pin::pin!(end);
         loop {
             tokio::select! {
-                (socket, permit) = listener.next() => {
+                (socket, permit) = listener.accept() => {
                     connections.spawn(connection::serve(context.clone(), socket, permit));
                 }
                 Some(_) = connections.join_next() => {}
@@ -123,7 +123,7 @@
             true => ShutdownPlan::with_successor(longest_deadline),
             false => ShutdownPlan::new(longest_deadline),
         };
-        let ConnectionCensus { open, pending } = self.limit.census();
+        let ConnectionCounts { open, pending } = self.limit.counts();
         tracing::info!(
             target: SHUTDOWN,
             connections = open, awaiting_answer = pending, ?longest_deadline, accept_until = ?plan.accept_until,
@@ -151,7 +151,7 @@
 
     /// Logs a phase of the shutdown with what is open in it.
     fn log_phase(&self, phase: &str) {
-        let ConnectionCensus { open, pending } = self.limit.census();
+        let ConnectionCounts { open, pending } = self.limit.counts();
         tracing::info!(
             target: SHUTDOWN, connections = open, awaiting_answer = pending, "shutdown: {phase}"
         );
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use rookspoke_channel::Channel;
-use rookspoke_console::{Desk, No};
+use rookspoke_console::{EjectionError, OperatorInterface};
 use rookspoke_decisions::{Ban, Time};
 use rookspoke_dispatch::{Counter, Counters};
 use rookspoke_faktory as faktory;
-use rookspoke_state::bans::{BanError, Held, Stamp, Store};
+use rookspoke_state::bans::{BanError, BanSet, BanStore, FileVersions};
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    async fn tell(&self, held: &Held) {
+    async fn tell(&self, held: &BanSet) {
         let names: Vec<&str> = held.bans.keys().map(String::as_str).collect();
         tracing::info!("out by hand: {}", if names.is_empty() { "none".into() } else { names.join(", ") });
         let ban = |(name, since): (&String, &i64)| Ban { worker: name.as_str().into(), since: Time(*since) };
@@ -53,7 +53,7 @@
 
 /// Log workers out by hand: what the files say, and the decisions have been told.
 pub struct Bans {
-    store: Store,
+    store: BanStore,
     fronts: Fronts,
     /// What holds in this process. Files are read and written with this in hand, so that what was read first is
     /// told first.
@@ -63,15 +63,15 @@
 /// What holds in this process.
 #[derive(Default)]
 struct View {
-    held: Held,
+    held: BanSet,
     /// Of the files that were read last.
-    stamp: Option<Stamp>,
+    stamp: Option<FileVersions>,
     /// Why they could not be read, if they could not.
     error: Option<String>,
 }
 
 impl Bans {
-    pub fn new(store: Store, fronts: Fronts) -> Self {
+    pub fn new(store: BanStore, fronts: Fronts) -> Self {
         Bans { store, fronts, view: Mutex::default() }
     }
 
@@ -87,7 +87,7 @@
     /// Takes what the files say, if they say something new; false if they cannot be read, and are to be looked at again.
     async fn look(&self) -> bool {
         let mut view = self.view.lock().await;
-        let stamp = self.store.stamp();
+        let stamp = self.store.file_versions();
         if view.stamp == Some(stamp) {
             return true;
         }
@@ -115,15 +115,15 @@
         }
     }
 
-    async fn change(&self, worker: &str, out: bool) -> Result<(), No> {
+    async fn change(&self, worker: &str, out: bool) -> Result<(), EjectionError> {
         let mut view = self.view.lock().await;
         // Not the wall clock: it may be stepped, and this is compared with what the decisions' clock says.
         let now = self.fronts.channel.now().0;
         let new = loop {
-            match self.store.change(worker, out, now, &view.held) {
+            match self.store.set_banned(worker, out, now, &view.held) {
                 Ok(new) => break new,
                 Err(BanError::Busy(_)) => sleep(BUSY).await,
-                Err(error) => return Err(No::Failed(error.to_string())),
+                Err(error) => return Err(EjectionError::Failed(error.to_string())),
             }
         };
         self.fronts.tell(&new).await;
@@ -165,12 +165,12 @@
     }
 }
 
-impl Desk for Operators {
-    fn ready(&self) -> bool {
+impl OperatorInterface for Operators {
+    fn is_ready(&self) -> bool {
         self.serving.is_ready()
     }
 
-    fn figures(&self) -> String {
+    fn metrics(&self) -> String {
         let mut text = String::new();
         self.of_class(&mut text, "passed", |class| &class.served);
         self.of_class(&mut text, "dropped", |class| &class.refused);
@@ -187,18 +187,18 @@
         text
     }
 
-    async fn set_out(&self, worker: &str, out: bool) -> Result<(), No> {
+    async fn set_ejected(&self, worker: &str, out: bool) -> Result<(), EjectionError> {
         let Some(bans) = &self.bans else {
-            return Err(No::Failed(
+            return Err(EjectionError::Failed(
                 "found no folder for `state`, expected one that outlives this process".into(),
             ));
         };
         if !bans.fronts.knows(worker).await {
-            return Err(No::Unknown);
+            return Err(EjectionError::UnknownWorker);
         }
         // Begun, it is done: a caller that leaves must not part the files from the decisions.
         let (bans, worker) = (bans.clone(), worker.to_owned());
         let done = tokio::spawn(async move { bans.change(&worker, out).await });
-        done.await.unwrap_or_else(|error| Err(No::Failed(error.to_string())))
+        done.await.unwrap_or_else(|error| Err(EjectionError::Failed(error.to_string())))
     }
 }
--- a/crates/rookspoke/src/share.rs
+++ b/crates/rookspoke/src/share.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rookspoke_guard::ConnectionLimit;
-use rookspoke_state::tenancy::Tenancy;
+use rookspoke_state::lease::ProcessLease;
 use tokio::time::{interval, Interval, MissedTickBehavior};
 
 use crate::serving::Serving;
@@ -37,7 +37,7 @@
 
 /// Keeps to half of the descriptors for as long as another process lives.
 pub struct Share {
-    tenancy: Tenancy,
+    tenancy: ProcessLease,
     limit: ConnectionLimit,
     sockets: usize,
     shared: bool,
@@ -46,7 +46,7 @@
 impl Share {
     /// Takes a place in the folder; none if that cannot be had, which costs nothing but this care.
     pub fn take(folder: &Path, limit: ConnectionLimit, sockets: usize) -> Option<Self> {
-        let tenancy = Tenancy::take(folder).inspect_err(|error| {
+        let tenancy = ProcessLease::acquire(folder).inspect_err(|error| {
             tracing::warn!("another process would not be seen: {}: {error}", folder.display());
         });
         tenancy.ok().map(|tenancy| Share { tenancy, limit, sockets, shared: false })
@@ -54,7 +54,7 @@
 
     /// Looks for the other process once.
     pub fn look(&mut self, serving: &Serving) {
-        let shared = self.tenancy.is_shared().unwrap_or(self.shared);
+        let shared = self.tenancy.is_peer_running().unwrap_or(self.shared);
         if shared != self.shared {
             self.shared = shared;
             tracing::info!("{}", if shared { "another process lives" } else { "this process is alone" });
--- a/crates/state/src/bans.rs
+++ b/crates/state/src/bans.rs
@@ -16,7 +16,7 @@
 /// The most log workers that may be out.
 pub const MAX_BANS: usize = 4096;
 /// The longest name, in bytes.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 const KIND: &str = "rookspoke-bans";
 /// The two files; the first is put in place first.
 const NAMES: [&str; 2] = ["rookspoke.bans", "rookspoke.bans.copy"];
@@ -46,42 +46,42 @@
     Full,
     /// No log worker has such a name.
     #[error(
-        "found a name of {0} bytes or with a sign that ends a line, expected one of 1 to {MAX_NAME} bytes"
+        "found a name of {0} bytes or with a sign that ends a line, expected one of 1 to {MAX_NAME_BYTES} bytes"
     )]
-    Name(usize),
+    InvalidName(usize),
 }
 
 /// What was read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct BanSet {
     /// The set.
     pub bans: Bans,
     /// Grows with each change.
-    pub number: u64,
+    pub revision: u64,
 }
 
 /// The set in its folder.
 #[derive(Clone, Debug)]
-pub struct Store {
+pub struct BanStore {
     folder: PathBuf,
 }
 
-impl Store {
+impl BanStore {
     /// The set in this folder, which need not hold one yet.
     pub fn new(folder: impl Into<PathBuf>) -> Self {
-        Store { folder: folder.into() }
+        BanStore { folder: folder.into() }
     }
 
     /// What holds now. One damaged file is worth a word in the log, which comes along; the other still tells.
     ///
     /// # Errors
     /// Neither file can be read, though there is one.
-    pub fn read(&self) -> Result<(Held, Option<FileError>), BanError> {
+    pub fn read(&self) -> Result<(BanSet, Option<FileError>), BanError> {
         let [first, second] = NAMES.map(|name| file::read(&self.folder.join(name), KIND, parse));
         match (first, second) {
-            (Ok(None), Ok(None)) => Ok((Held::default(), None)),
+            (Ok(None), Ok(None)) => Ok((BanSet::default(), None)),
             (Ok(first), Ok(second)) => {
-                let newer = |held: &Held| held.number;
+                let newer = |held: &BanSet| held.revision;
                 Ok((first.into_iter().chain(second).max_by_key(newer).unwrap_or_default(), None))
             }
             (Ok(Some(held)), Err(bad)) | (Err(bad), Ok(Some(held))) => Ok((held, Some(bad))),
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     /// As [`BanError`] says; the set is as it was, except after [`BanError::NotDurable`].
-    pub fn change(&self, worker: &str, out: bool, now: i64, last: &Held) -> Result<Held, BanError> {
+    pub fn set_banned(&self, worker: &str, out: bool, now: i64, last: &BanSet) -> Result<BanSet, BanError> {
         check_name(worker)?;
         let _lock = self.lock()?;
         let mut held = match self.read() {
@@ -113,7 +113,7 @@
             false => held.bans.remove(worker).is_some(),
         };
         if changes {
-            held.number += 1;
+            held.revision += 1;
             // All that takes room first: a rename takes none.
             let paths = NAMES.map(|name| self.folder.join(name));
             for path in &paths {
@@ -130,7 +130,7 @@
     }
 
     /// What a look at the folder tells without reading the files: another value, another set.
-    pub fn stamp(&self) -> Stamp {
+    pub fn file_versions(&self) -> FileVersions {
         use std::os::unix::fs::MetadataExt;
         NAMES.map(|name| {
             let meta = std::fs::metadata(self.folder.join(name)).ok()?;
@@ -146,17 +146,17 @@
 }
 
 fn check_name(name: &str) -> Result<(), BanError> {
-    let fits = (1..=MAX_NAME).contains(&name.len()) && !name.contains(['\n', '\r']);
-    fits.then_some(()).ok_or(BanError::Name(name.len()))
+    let fits = (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(['\n', '\r']);
+    fits.then_some(()).ok_or(BanError::InvalidName(name.len()))
 }
 
 /// A line with the number, then a line `SINCE NAME` for each log worker.
-fn text(held: &Held) -> String {
+fn text(held: &BanSet) -> String {
     let lines = held.bans.iter().map(|(name, since)| format!("{since} {name}\n"));
-    std::iter::once(format!("{}\n", held.number)).chain(lines).collect()
+    std::iter::once(format!("{}\n", held.revision)).chain(lines).collect()
 }
 
-fn parse(text: &str) -> Result<Held, String> {
+fn parse(text: &str) -> Result<BanSet, String> {
     let (number, lines) = text.split_once('\n').ok_or("found no line with its number")?;
     let ban = |line: &str| {
         let (since, name) = line.split_once(' ')?;
@@ -164,11 +164,11 @@
     };
     let bans: Option<Bans> = lines.lines().map(ban).collect();
     let number = number.parse().map_err(|_| format!("found the number {number:?}"))?;
-    Ok(Held { bans: bans.ok_or("found a line that is not `SINCE NAME`")?, number })
+    Ok(BanSet { bans: bans.ok_or("found a line that is not `SINCE NAME`")?, revision: number })
 }
 
 /// Which files lie in the folder.
-pub type Stamp = [Option<(u64, i64, i64, u64)>; 2];
+pub type FileVersions = [Option<(u64, i64, i64, u64)>; 2];
 
 #[cfg(test)]
 mod tests {
@@ -176,16 +176,16 @@
 
     use super::*;
 
-    fn store() -> (tempfile::TempDir, Store) {
+    fn store() -> (tempfile::TempDir, BanStore) {
         let folder = tempfile::tempdir().expect("a folder");
-        let store = Store::new(folder.path());
+        let store = BanStore::new(folder.path());
         (folder, store)
     }
 
     #[test]
     fn one_damaged_file_loses_no_ban_and_two_leave_what_the_process_held() {
         let (folder, store) = store();
-        let last = store.change("s-1", true, 5, &Held::default()).expect("out");
+        let last = store.set_banned("s-1", true, 5, &BanSet::default()).expect("out");
         for name in NAMES {
             let path = folder.path().join(name);
             let whole = std::fs::read(&path).expect("a file");
@@ -196,7 +196,7 @@
         }
         NAMES.iter().for_each(|name| std::fs::write(folder.path().join(name), "?").expect("spoilt"));
         assert!(matches!(store.read(), Err(BanError::Damaged(..))));
-        let held = store.change("s-2", true, 6, &last).expect("out");
+        let held = store.set_banned("s-2", true, 6, &last).expect("out");
         assert_eq!(held.bans, [("s-1".into(), 5), ("s-2".into(), 6)].into());
         assert_eq!(store.read().expect("whole again").0, held);
     }
@@ -204,36 +204,36 @@
     #[test]
     fn a_change_that_cannot_be_written_changes_nothing() {
         let (folder, store) = store();
-        let held = store.change("s-1", true, 5, &Held::default()).expect("out");
+        let held = store.set_banned("s-1", true, 5, &BanSet::default()).expect("out");
         // A folder in the place of the second file's draft: it cannot be written.
         std::fs::create_dir(file::draft(&folder.path().join(NAMES[1]))).expect("a folder");
-        assert!(matches!(store.change("s-1", false, 6, &held), Err(BanError::Io(..))));
+        assert!(matches!(store.set_banned("s-1", false, 6, &held), Err(BanError::Io(..))));
         assert_eq!(store.read().expect("as before").0, held);
     }
 
     #[test]
     fn a_change_that_is_in_place_in_part_holds_and_says_so() {
         let (folder, store) = store();
-        let held = store.change("s-1", true, 5, &Held::default()).expect("out");
+        let held = store.set_banned("s-1", true, 5, &BanSet::default()).expect("out");
         // A folder that is not empty in the place of the second file: the rename fails.
         let second = folder.path().join(NAMES[1]);
         std::fs::remove_file(&second).expect("gone");
         std::fs::create_dir_all(second.join("full")).expect("a folder");
-        assert!(matches!(store.change("s-2", true, 6, &held), Err(BanError::NotDurable(..))));
+        assert!(matches!(store.set_banned("s-2", true, 6, &held), Err(BanError::NotDurable(..))));
         let held = store.read().expect("the first file tells").0;
         assert!(held.bans.contains_key("s-2"), "{held:?}");
         // The same call again, once the disk works: the time stays that of the first.
         std::fs::remove_dir_all(&second).expect("gone");
-        assert_eq!(store.change("s-2", true, 9, &held).expect("out").bans["s-2"], 6);
+        assert_eq!(store.set_banned("s-2", true, 9, &held).expect("out").bans["s-2"], 6);
     }
 
     #[test]
     fn a_change_under_way_elsewhere_is_told_apart() {
         let (_folder, store) = store();
         let lock = store.lock().expect("free");
-        assert!(matches!(store.change("s-1", true, 5, &Held::default()), Err(BanError::Busy(_))));
+        assert!(matches!(store.set_banned("s-1", true, 5, &BanSet::default()), Err(BanError::Busy(_))));
         drop(lock);
-        assert!(store.change("s-1", true, 5, &Held::default()).is_ok());
+        assert!(store.set_banned("s-1", true, 5, &BanSet::default()).is_ok());
     }
 
     proptest! {
@@ -241,13 +241,13 @@
         #[test]
         fn calls_to_either_process_make_one_set(calls in proptest::collection::vec((0u8..5, any::<bool>(), any::<bool>()), 1..40)) {
             let (folder, store) = store();
-            let other = Store::new(folder.path());
+            let other = BanStore::new(folder.path());
             let mut model = Bans::new();
             for (now, (id, out, first)) in calls.into_iter().enumerate() {
                 let (name, now) = (format!("s-{id}"), now as i64);
                 let to = if first { &store } else { &other };
-                let stamp = store.stamp();
-                let held = to.change(&name, out, now, &Held::default()).expect("changed");
+                let stamp = store.file_versions();
+                let held = to.set_banned(&name, out, now, &BanSet::default()).expect("changed");
                 let before = model.clone();
                 match out {
                     true => drop(model.entry(name).or_insert(now)),
@@ -255,7 +255,7 @@
                 }
                 prop_assert_eq!(&held.bans, &model);
                 prop_assert_eq!(&other.read().expect("read").0, &held);
-                prop_assert_eq!(store.stamp() != stamp, before != model, "a look tells of a change");
+                prop_assert_eq!(store.file_versions() != stamp, before != model, "a look tells of a change");
             }
         }
     }
--- a/crates/state/src/tenancy.rs
+++ b/crates/state/src/lease.rs
@@ -11,19 +11,19 @@
 
 /// This process's place in the folder.
 #[derive(Debug)]
-pub struct Tenancy {
+pub struct ProcessLease {
     places: [PathBuf; 2],
     /// Which is this process's own; none as long as others hold both, if only for a look.
     own: Option<(usize, File)>,
 }
 
-impl Tenancy {
+impl ProcessLease {
     /// Takes a free place.
     ///
     /// # Errors
     /// The files cannot be opened or locked.
-    pub fn take(folder: &Path) -> io::Result<Self> {
-        let mut tenancy = Tenancy { places: NAMES.map(|name| folder.join(name)), own: None };
+    pub fn acquire(folder: &Path) -> io::Result<Self> {
+        let mut tenancy = ProcessLease { places: NAMES.map(|name| folder.join(name)), own: None };
         tenancy.settle()?;
         Ok(tenancy)
     }
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// The other place cannot be looked at.
-    pub fn is_shared(&mut self) -> io::Result<bool> {
+    pub fn is_peer_running(&mut self) -> io::Result<bool> {
         self.settle()?;
         match &self.own {
             Some((at, _)) => Ok(lock(&self.places[1 - at])?.is_none()),
@@ -58,27 +58,27 @@
     #[test]
     fn each_of_two_sees_the_other_for_as_long_as_it_lives() {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut first = Tenancy::take(folder.path()).expect("a place");
-        assert!(!first.is_shared().expect("a look"));
-        let mut second = Tenancy::take(folder.path()).expect("a place");
-        assert!(first.is_shared().expect("a look") && second.is_shared().expect("a look"));
+        let mut first = ProcessLease::acquire(folder.path()).expect("a place");
+        assert!(!first.is_peer_running().expect("a look"));
+        let mut second = ProcessLease::acquire(folder.path()).expect("a place");
+        assert!(first.is_peer_running().expect("a look") && second.is_peer_running().expect("a look"));
         drop(first);
-        assert!(!second.is_shared().expect("a look"));
-        let mut third = Tenancy::take(folder.path()).expect("a place");
-        assert!(second.is_shared().expect("a look") && third.is_shared().expect("a look"));
+        assert!(!second.is_peer_running().expect("a look"));
+        let mut third = ProcessLease::acquire(folder.path()).expect("a place");
+        assert!(second.is_peer_running().expect("a look") && third.is_peer_running().expect("a look"));
     }
 
     /// A look holds the free place for a moment: one that starts in it takes its place later, and is seen then.
     #[test]
     fn one_that_starts_while_another_looks_is_seen_soon() {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut first = Tenancy::take(folder.path()).expect("a place");
+        let mut first = ProcessLease::acquire(folder.path()).expect("a place");
         let look = lock(&folder.path().join(NAMES[1])).expect("a lock").expect("free");
-        let mut second = Tenancy::take(folder.path()).expect("none, for now");
-        assert!(second.is_shared().expect("a look"), "both are held");
+        let mut second = ProcessLease::acquire(folder.path()).expect("none, for now");
+        assert!(second.is_peer_running().expect("a look"), "both are held");
         drop(look);
-        assert!(second.is_shared().expect("a look") && first.is_shared().expect("a look"));
+        assert!(second.is_peer_running().expect("a look") && first.is_peer_running().expect("a look"));
         drop(second);
-        assert!(!first.is_shared().expect("a look"));
+        assert!(!first.is_peer_running().expect("a look"));
     }
 }
