--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,5 +1,5 @@
-//! What guards client sockets: how many there may be and for how long without a request, and how the
-//! requests on one are framed. It knows nothing of what a request says.
+//! Accepts client connections and limits them: how many may be open, how long each may stay without a complete request,
+//! and how the requests on one are delimited. Nothing here interprets a request.
 
 mod framing;
 mod limit;
--- a/crates/guard/src/limit.rs
+++ b/crates/guard/src/limit.rs
@@ -1,4 +1,5 @@
-//! The limit on client connections: how many there may be, and which are closed when there is no room or a client stays silent.
+//! The limit on client connections: how many may be open, and which are closed when a new one needs a slot or a client
+//! exceeds a timeout.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,34 +8,35 @@
 
 use tokio::sync::Notify;
 
-/// How long a connection may go on without a whole request.
+/// How long a connection may stay in each state before it is closed.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// From its start to the last byte of its first request.
+    /// From accept to the last byte of the first request.
     pub first_request: Duration,
-    /// From the first byte of a later request to the last.
+    /// From the first byte of a later request to its last byte.
     pub request: Duration,
     /// Between two requests.
     pub idle: Duration,
-    /// From the end of an answer until the client has read it.
+    /// From the end of an answer until it is flushed to the socket, which takes until the client reads.
     pub response: Duration,
 }
 
-/// Between two looks at whether pending requests have their answers.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often [`ConnectionLimit::pending_answered`] checks whether pending requests are answered.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a connection is at; in the order in which they have to close.
+/// State of a connection. The order matters: to free a slot, `New` connections are closed first, then `Idle` ones, and
+/// none in a later state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum State {
-    /// It never sent a whole request.
+    /// No complete request has been received yet.
     New,
     /// Between two requests.
     Idle,
-    /// A part of a further request has come.
+    /// A later request has been received in part.
     Receiving,
-    /// Its answer is being written.
+    /// The answer is being written.
     Responding,
-    /// Its request has no answer yet.
+    /// A request is complete and has no answer yet.
     Pending,
 }
 
@@ -43,50 +45,50 @@
     since: Instant,
     close: Arc<Notify>,
     closing: bool,
-    /// Whether something waits on the socket that nobody has read.
-    unread: Box<dyn Fn() -> bool + Send>,
+    /// Whether the socket's receive buffer holds bytes that have not been read.
+    has_unread: Box<dyn Fn() -> bool + Send>,
 }
 
 struct Shared {
     capacity: AtomicUsize,
     timeouts: Timeouts,
     entries: Mutex<Entries>,
-    freed: Notify,
+    slot_freed: Notify,
 }
 
 #[derive(Default)]
 struct Entries {
-    /// By their number, the oldest first.
+    /// By connection number, so in the order of accept.
     open: BTreeMap<u64, Entry>,
-    next: u64,
-    /// Told to close and still there.
+    next_number: u64,
+    /// Connections that were asked to close and are still open.
     closing: usize,
 }
 
-/// How many connections there are at a moment.
+/// Number of connections at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// All of them.
+    /// Open connections.
     pub open: usize,
-    /// Those whose client waits for an answer, or for the rest of one.
+    /// Those among them whose client waits for an answer or for the rest of one.
     pub pending: usize,
 }
 
-/// A fixed number of places.
+/// A limit on open connections that evicts those without a request in progress; clones share it.
 #[derive(Clone)]
 pub struct ConnectionLimit(Arc<Shared>);
 
 impl ConnectionLimit {
-    /// A room of `capacity` places.
+    /// Allows `capacity` open connections.
     pub fn new(capacity: usize, timeouts: Timeouts) -> Self {
-        let (capacity, entries, freed) = (capacity.into(), Mutex::default(), Notify::new());
-        ConnectionLimit(Arc::new(Shared { capacity, timeouts, entries, freed }))
+        let (capacity, entries, slot_freed) = (capacity.into(), Mutex::default(), Notify::new());
+        ConnectionLimit(Arc::new(Shared { capacity, timeouts, entries, slot_freed }))
     }
 
-    /// Takes a place. Without a free one, somebody is told to close, and the place is there once they have:
-    /// the oldest of those who never sent a whole request, else who has been idle for the longest; nobody
-    /// whose request waits unread, and nobody whose request has no answer yet.
-    pub fn admit(&self, unread: impl Fn() -> bool + Send + 'static) -> Option<Permit> {
+    /// Takes a slot. If none is free, one connection is asked to close, and the slot becomes free once it has: the
+    /// oldest that never sent a complete request, or else the one that has been idle for longest. Connections with
+    /// unread bytes on the socket or with an unanswered request are never chosen.
+    pub fn admit(&self, has_unread: impl Fn() -> bool + Send + 'static) -> Option<Permit> {
         let mut entries = self.0.lock();
         if entries.open.len() >= self.0.capacity.load(Ordering::Relaxed) {
             if entries.closing == 0 {
@@ -94,64 +96,73 @@
             }
             return None;
         }
-        Some(self.insert(&mut entries, Box::new(unread)))
+        Some(self.insert(&mut entries, Box::new(has_unread)))
     }
 
-    /// Has another number of places from now on. Whoever is beyond the last is closed as in [`ConnectionLimit::admit`].
+    /// Changes the capacity. Connections beyond it are asked to close, chosen as in [`ConnectionLimit::admit`].
     pub fn resize(&self, capacity: usize) {
         self.0.capacity.store(capacity, Ordering::Relaxed);
         let mut entries = self.0.lock();
-        let beyond = (entries.open.len() - entries.closing).saturating_sub(capacity);
-        (0..beyond).for_each(|_| entries.close_one());
-        self.0.freed.notify_one();
+        let excess = (entries.open.len() - entries.closing).saturating_sub(capacity);
+        (0..excess).for_each(|_| entries.close_one());
+        self.0.slot_freed.notify_one();
     }
 
-    /// Takes a place even beyond the last: for the few that wait when no others can come any more.
-    pub fn admit_over_limit(&self, unread: impl Fn() -> bool + Send + 'static) -> Permit {
-        self.insert(&mut self.0.lock(), Box::new(unread))
+    /// Takes a slot even if none is free: for the few connections that still wait to be served when the listener has
+    /// closed and no others can follow.
+    pub fn admit_over_limit(&self, has_unread: impl Fn() -> bool + Send + 'static) -> Permit {
+        self.insert(&mut self.0.lock(), Box::new(has_unread))
     }
 
-    fn insert(&self, entries: &mut Entries, unread: Box<dyn Fn() -> bool + Send>) -> Permit {
-        let (number, close) = (entries.next, Arc::new(Notify::new()));
-        let entry =
-            Entry { state: State::New, since: Instant::now(), close: close.clone(), closing: false, unread };
+    fn insert(&self, entries: &mut Entries, has_unread: Box<dyn Fn() -> bool + Send>) -> Permit {
+        let (number, close) = (entries.next_number, Arc::new(Notify::new()));
+        let entry = Entry {
+            state: State::New,
+            since: Instant::now(),
+            close: close.clone(),
+            closing: false,
+            has_unread,
+        };
         entries.open.insert(number, entry);
-        entries.next += 1;
-        Permit(Arc::new(Taken { limit: self.clone(), number, close }))
+        entries.next_number += 1;
+        Permit(Arc::new(Slot { limit: self.clone(), number, close }))
     }
 
-    /// How many connections there are, and how many of them wait for an answer.
+    /// Counts the open connections and those that wait for an answer.
     pub fn counts(&self) -> ConnectionCounts {
         let entries = self.0.lock();
         let pending = entries.open.values().filter(|entry| entry.state >= State::Responding).count();
         ConnectionCounts { open: entries.open.len(), pending }
     }
 
-    /// Ends when a place has become free since the last time.
+    /// Waits until a slot has become free since the last call.
     pub async fn slot_freed(&self) {
-        self.0.freed.notified().await;
+        self.0.slot_freed.notified().await;
     }
 
-    /// Ends when everybody who waits for an answer now has it.
+    /// Waits until every request that is pending now has its answer.
     pub async fn pending_answered(&self) {
-        let pending = |entry: &Entry| entry.state >= State::Responding;
-        let open: Vec<(u64, Instant)> =
-            self.0.lock().open.iter().filter(|(_, s)| pending(s)).map(|(n, s)| (*n, s.since)).collect();
-        let under_way = |(number, since): &(u64, Instant)| {
-            self.0.lock().open.get(number).is_some_and(|entry| pending(entry) && entry.since == *since)
+        let is_pending = |entry: &Entry| entry.state >= State::Responding;
+        let pending: Vec<(u64, Instant)> = {
+            let entries = self.0.lock();
+            let pending = entries.open.iter().filter(|(_, entry)| is_pending(entry));
+            pending.map(|(number, entry)| (*number, entry.since)).collect()
+        };
+        let unanswered = |(number, since): &(u64, Instant)| {
+            self.0.lock().open.get(number).is_some_and(|entry| is_pending(entry) && entry.since == *since)
         };
-        while open.iter().any(under_way) {
-            tokio::time::sleep(LOOK).await;
+        while pending.iter().any(unanswered) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Tells those to close who took too long.
+    /// Asks every connection that exceeds its timeout to close.
     pub fn close_expired(&self) {
         let (now, timeouts) = (Instant::now(), self.0.timeouts);
         let mut entries = self.0.lock();
         let Entries { open, closing, .. } = &mut *entries;
         for entry in open.values_mut() {
-            let most = match entry.state {
+            let timeout = match entry.state {
                 State::New => timeouts.first_request,
                 State::Idle => timeouts.idle,
                 State::Receiving => timeouts.request,
@@ -159,8 +170,8 @@
                 State::Pending => continue,
             };
             let silent_for = now.saturating_duration_since(entry.since);
-            if !entry.closing && silent_for >= most {
-                tracing::debug!(state = ?entry.state, ?silent_for, "a connection is closed: silent for too long");
+            if !entry.closing && silent_for >= timeout {
+                tracing::debug!(state = ?entry.state, ?silent_for, "closing a connection that exceeded its timeout");
                 *closing += 1;
                 entry.request_close();
             }
@@ -170,7 +181,7 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, Entries> {
-        // Nothing that holds this lock can leave half a change behind.
+        // A poisoned lock is usable: no code that holds it can panic between two changes that belong together.
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -184,9 +195,12 @@
             .map(|(number, entry)| (entry.state, entry.since, *number))
             .collect();
         candidates.sort_unstable();
-        let silent = candidates.iter().find(|c| self.open.get(&c.2).is_some_and(|s| !(s.unread)()));
-        if let Some(entry) = silent.and_then(|c| self.open.get_mut(&c.2)) {
-            tracing::debug!(state = ?entry.state, "a connection is closed: it makes room for another");
+        let evicted = candidates
+            .iter()
+            .map(|(_, _, number)| *number)
+            .find(|number| self.open.get(number).is_some_and(|entry| !(entry.has_unread)()));
+        if let Some(entry) = evicted.and_then(|number| self.open.get_mut(&number)) {
+            tracing::debug!(state = ?entry.state, "closing a connection to free its slot");
             entry.request_close();
             self.closing += 1;
         }
@@ -200,28 +214,28 @@
     }
 }
 
-/// A connection's place; free again once every clone is gone.
+/// A connection's slot, which is freed once every clone is dropped.
 #[derive(Clone)]
-pub struct Permit(Arc<Taken>);
+pub struct Permit(Arc<Slot>);
 
-struct Taken {
+struct Slot {
     limit: ConnectionLimit,
     number: u64,
     close: Arc<Notify>,
 }
 
-impl Drop for Taken {
+impl Drop for Slot {
     fn drop(&mut self) {
         let mut entries = self.limit.0.lock();
         if entries.open.remove(&self.number).is_some_and(|entry| entry.closing) {
             entries.closing -= 1;
         }
-        self.limit.0.freed.notify_one();
+        self.limit.0.slot_freed.notify_one();
     }
 }
 
 impl Permit {
-    /// Ends when this connection has to close. A request that comes in the meantime saves it.
+    /// Waits until this connection has to close. A request that completes in the meantime cancels the close.
     pub async fn close_requested(&self) {
         loop {
             self.0.close.notified().await;
@@ -231,28 +245,28 @@
         }
     }
 
-    /// Whether a request may be on its way: its first has not come yet, or a further one is not whole.
+    /// Whether a request may be arriving: the first has not completed yet, or a later one has been received in part.
     pub fn expects_request(&self) -> bool {
         let expects = |entry: &Entry| matches!(entry.state, State::New | State::Receiving);
         self.0.limit.0.lock().open.get(&self.0.number).is_some_and(expects)
     }
 
-    /// A whole request has come: an answer is pending.
+    /// Records that a complete request has been received and its answer is pending.
     pub fn request_received(&self) {
         self.set(State::Pending);
     }
 
-    /// An answer is there, and is being written.
+    /// Records that the answer is being written.
     pub fn response_started(&self) {
         self.set(State::Responding);
     }
 
-    /// The last answer is out.
+    /// Records that the last answer has been written.
     pub fn response_sent(&self) {
         self.set(State::Idle);
     }
 
-    /// A part of a further request is here.
+    /// Records that a later request has been received in part.
     pub fn request_started(&self) {
         self.set(State::Receiving);
     }
@@ -261,15 +275,15 @@
         let mut entries = self.0.limit.0.lock();
         let Entries { open, closing, .. } = &mut *entries;
         let Some(entry) = open.get_mut(&self.0.number) else { return };
-        // Until its first request is whole, a connection stays new.
+        // A connection stays `New` until its first request is complete.
         if entry.state == state || (entry.state == State::New && state != State::Pending) {
             return;
         }
         (entry.state, entry.since) = (state, Instant::now());
         if state == State::Pending && std::mem::take(&mut entry.closing) {
             *closing -= 1;
-            // Somebody else has to.
-            self.0.limit.0.freed.notify_one();
+            // This connection stays, so whoever waits for a slot has to ask another one to close.
+            self.0.limit.0.slot_freed.notify_one();
         }
     }
 }
--- a/crates/guard/src/socket.rs
+++ b/crates/guard/src/socket.rs
@@ -1,5 +1,5 @@
-//! A client's socket, shared with the room that may ask whether something waits on it, and the same with its
-//! requests followed as they come.
+//! Client sockets: [`ClientSocket`], which the connection limit can check for unread bytes, and [`FramedSocket`], which
+//! also tracks the requests on it and reports their state to the limit.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -17,79 +17,79 @@
 use super::framing::Framing;
 use super::limit::Permit;
 
-/// What is read at a time.
-const READ: usize = 8 * 1024;
+/// Size of one read.
+const READ_BYTES: usize = 8 * 1024;
 
-/// A socket that can be looked at from elsewhere.
+/// A client's socket, whose state can also be checked outside the task that serves it.
 pub struct ClientSocket(Arc<TcpStream>);
 
 impl ClientSocket {
-    /// Takes a stream over.
+    /// Wraps an accepted stream and turns on TCP_NODELAY.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         ClientSocket(Arc::new(stream))
     }
 
-    /// Tells whether bytes wait on the socket, read by nobody; asked of the system itself, since the runtime
-    /// hears of them only between two tasks.
+    /// Returns a check of whether the socket's receive buffer holds unread bytes. It asks the kernel, since the
+    /// runtime learns of new bytes only between two tasks.
     pub fn unread_check(&self) -> impl Fn() -> bool + Send + 'static {
         let stream = Arc::downgrade(&self.0);
         move || stream.upgrade().is_some_and(|stream| peek(&stream).is_ok_and(|bytes| bytes > 0))
     }
 }
 
-/// What a failed call says of a connection.
+/// What a failed system call means for the connection.
 enum Fault {
-    /// Nothing: the call was interrupted, and is made again.
+    /// The call was interrupted by a signal, and is repeated at once.
     Interrupted,
-    /// Nothing: the system is short of something for a moment.
-    Passing,
-    /// It is broken.
+    /// The kernel is short of memory, and the call is repeated later.
+    Transient,
+    /// The connection is broken.
     Broken,
 }
 
 impl Fault {
-    fn of(error: &io::Error) -> Self {
+    fn classify(error: &io::Error) -> Self {
         match error.raw_os_error() {
             _ if error.kind() == io::ErrorKind::Interrupted => Fault::Interrupted,
-            Some(ENOMEM | ENOBUFS) => Fault::Passing,
+            Some(ENOMEM | ENOBUFS) => Fault::Transient,
             _ => Fault::Broken,
         }
     }
 }
 
-/// Linux's numbers of errors that have no kind of their own in the standard library.
+/// Linux error numbers for a temporary lack of memory; the standard library has no constants for them, and no
+/// `io::ErrorKind` for the second.
 const ENOMEM: i32 = 12;
 const ENOBUFS: i32 = 105;
 
-/// A look at the next byte of a socket, which stays there.
+/// Peeks at the next byte of a socket, which stays in the receive buffer.
 fn peek(stream: &TcpStream) -> io::Result<usize> {
     loop {
         match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
-            Err(error) if matches!(Fault::of(&error), Fault::Interrupted) => {}
-            done => return done,
+            Err(error) if matches!(Fault::classify(&error), Fault::Interrupted) => {}
+            result => return result,
         }
     }
 }
 
-/// How often a socket with bytes that nobody reads is looked at for its end: the runtime tells of the bytes alone.
-const LOOK: Duration = Duration::from_millis(20);
-/// What a client that still sends may send in vain before its connection is closed.
-const DISCARDED: usize = 256 * 1024;
+/// How often a socket with unread bytes is polled for its close: readiness reports only the bytes.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Bytes that are discarded from a client that keeps sending after its last answer, before its connection is closed.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
-/// A second hold on a client's socket, for its end.
+/// A second handle on a client's socket, to detect and to handle its close.
 pub struct SocketHandle(Arc<TcpStream>);
 
 impl ClientSocket {
-    /// A second hold on it: the socket stays open until this is dropped, too.
+    /// Returns a second handle; the socket stays open until that is dropped, too.
     pub fn handle(&self) -> SocketHandle {
         SocketHandle(self.0.clone())
     }
 }
 
 impl SocketHandle {
-    /// Ends once the client has closed its side or reset the connection, also where that lies behind bytes that nobody
-    /// has read.
+    /// Waits until the client has closed its side or reset the connection, and notices it even behind unread bytes.
     pub async fn closed_by_client(&self) {
         loop {
             let Ok(ready) = self.0.ready(Interest::READABLE).await else { return };
@@ -100,17 +100,18 @@
                 Ok(0) => return,
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) if matches!(Fault::of(&error), Fault::Passing) => {}
+                Err(error) if matches!(Fault::classify(&error), Fault::Transient) => {}
                 Err(_) => return,
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 
-    /// A lingering close, after the last answer: a close over bytes that nobody has read resets the connection, and the
-    /// answer may be lost with it. So this waits for the client's own close, for `within` at most. Where `discard` says
-    /// that nothing more is a request, what comes meanwhile is read and dropped, lest a client that still sends never
-    /// comes to read; else it stays unread, and its client knows that nobody has taken it.
+    /// Performs a lingering close after the last answer. Closing a socket with unread bytes resets the connection, and
+    /// the answer may be lost with it, so this shuts down the sending side and waits, for at most `within`, until the
+    /// client closes. With `discard`, when no further bytes can be a request, what arrives meanwhile is read and
+    /// dropped, since a client that is still sending may otherwise never read the answer. Without it, the bytes stay
+    /// unread, and the reset tells the client that its request was not taken.
     pub async fn linger(&self, within: Duration, discard: bool) {
         let _ = SockRef::from(&*self.0).shutdown(std::net::Shutdown::Write);
         let _ = match discard {
@@ -120,16 +121,16 @@
     }
 
     async fn discard(&self) {
-        let mut left = DISCARDED;
+        let mut left = MAX_DISCARDED_BYTES;
         while left > 0 {
             if self.0.readable().await.is_err() {
                 return;
             }
-            match self.0.try_read(&mut [0; READ]) {
+            match self.0.try_read(&mut [0; READ_BYTES]) {
                 Ok(0) => return,
                 Ok(read) => left = left.saturating_sub(read),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) if matches!(Fault::of(&error), Fault::Interrupted) => {}
+                Err(error) if matches!(Fault::classify(&error), Fault::Interrupted) => {}
                 Err(_) => return,
             }
         }
@@ -152,11 +153,11 @@
     }
 }
 
-/// Ready where the call is to be made again at once; pending, and woken, where it is to be made again in a moment.
+/// Ready if the call is to be repeated at once; pending, with the task woken, if it is to be repeated later.
 fn retry_or_fail(error: io::Error, cx: &mut Context) -> Poll<io::Result<()>> {
-    match Fault::of(&error) {
+    match Fault::classify(&error) {
         Fault::Interrupted => Poll::Ready(Ok(())),
-        Fault::Passing => {
+        Fault::Transient => {
             cx.waker().wake_by_ref();
             Poll::Pending
         }
@@ -183,62 +184,66 @@
     }
 }
 
-/// How many of a connection's requests have come and were answered.
+/// Counts of a connection's requests and answers.
 #[derive(Default)]
-struct Count {
-    begun: u64,
-    whole: u64,
-    /// Answers that are there, and those that are out.
-    answered: u64,
-    out: u64,
+struct Counts {
+    /// Request heads received.
+    heads: u64,
+    /// Requests received completely.
+    requests: u64,
+    /// Answers produced.
+    answers: u64,
+    /// Answers written to the socket.
+    flushed: u64,
 }
 
-/// A socket whose requests are followed: its place in the room is told what it is at.
+/// A socket that tracks its requests and keeps the connection's [`Permit`] up to date with their state.
 pub struct FramedSocket {
-    // Before the place: that is free only once the socket is closed.
+    // Declared before `permit`, and so dropped before it: the slot is free only once the socket is closed.
     socket: ClientSocket,
     framing: Framing,
-    /// Read, judged, and not passed on yet.
-    judged: BytesMut,
-    count: Count,
+    /// Bytes that passed the framing and are still to be read by the HTTP library.
+    checked: BytesMut,
+    counts: Counts,
     answers: Arc<AtomicU64>,
     cut_off: CutOff,
     permit: Permit,
 }
 
-/// Says that a head which is not whole by now is waited for no longer; clones share it. The socket's reader has to be
-/// polled after that.
+/// Stops waiting for a request head that is incomplete: it is rejected, and the HTTP library closes the connection.
+/// Clones share the flag. The socket's reader has to be polled after it is set.
 #[derive(Clone, Default)]
 pub struct CutOff(Arc<AtomicBool>);
 
 impl CutOff {
-    /// From now on.
+    /// Sets the flag, for good.
     pub fn set(&self) {
         self.0.store(true, Ordering::Release);
     }
 }
 
 impl FramedSocket {
-    /// Follows a socket; `answers` counts the answers given on it.
+    /// Wraps a socket; `answers` is incremented elsewhere for each answer produced on it.
     pub fn new(socket: ClientSocket, permit: Permit, answers: Arc<AtomicU64>) -> Self {
-        let (framing, judged) = (Framing::default(), BytesMut::new());
-        let (count, cut_off) = (Count::default(), CutOff::default());
-        FramedSocket { socket, framing, judged, count, answers, cut_off, permit }
+        let (framing, checked) = (Framing::default(), BytesMut::new());
+        let (counts, cut_off) = (Counts::default(), CutOff::default());
+        FramedSocket { socket, framing, checked, counts, answers, cut_off, permit }
     }
 
-    /// How to cut off a head that does not end.
+    /// Returns the flag that stops waiting for an incomplete request head.
     pub fn cut_off(&self) -> CutOff {
         self.cut_off.clone()
     }
 
-    fn tell(&mut self) {
-        self.count.answered = self.answers.load(Ordering::Acquire);
-        let Count { begun, whole, answered, out } = self.count;
-        if whole > answered {
+    /// Derives the connection's state from the counts and reports it to the limit.
+    fn update_state(&mut self) {
+        self.counts.answers = self.answers.load(Ordering::Acquire);
+        let Counts { heads, requests, answers, flushed } = self.counts;
+        if requests > answers {
             self.permit.request_received();
-        } else if answered > out {
+        } else if answers > flushed {
             self.permit.response_started();
-        } else if begun > whole.max(out) || self.framing.holds() {
+        } else if heads > requests.max(flushed) || self.framing.has_partial_head() {
             self.permit.request_started();
         } else {
             self.permit.response_sent();
@@ -249,42 +254,44 @@
 impl AsyncRead for FramedSocket {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while this.judged.is_empty() && !this.framing.is_lost() {
-            let mut bytes = [0; READ];
+        while this.checked.is_empty() && !this.framing.is_out_of_sync() {
+            let mut bytes = [0; READ_BYTES];
             let mut read = ReadBuf::new(&mut bytes);
             match Pin::new(&mut this.socket).poll_read(cx, &mut read) {
-                Poll::Pending if this.framing.holds() && this.cut_off.0.load(Ordering::Acquire) => {
-                    this.framing.give_up(&mut this.judged);
+                Poll::Pending
+                    if this.framing.has_partial_head() && this.cut_off.0.load(Ordering::Acquire) =>
+                {
+                    this.framing.reject_partial_head(&mut this.checked);
                     break;
                 }
-                done => ready!(done)?,
+                result => ready!(result)?,
             }
             if read.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            let fed = this.framing.feed(read.filled(), &mut this.judged);
-            this.count.begun += fed.begun;
-            this.count.whole += fed.whole;
-            this.tell();
+            let completed = this.framing.feed(read.filled(), &mut this.checked);
+            this.counts.heads += completed.heads;
+            this.counts.requests += completed.requests;
+            this.update_state();
         }
-        let now = buf.remaining().min(this.judged.len());
-        buf.put_slice(&this.judged[..now]);
-        this.judged.advance(now);
+        let count = buf.remaining().min(this.checked.len());
+        buf.put_slice(&this.checked[..count]);
+        this.checked.advance(count);
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for FramedSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.count.whole <= self.answers.load(Ordering::Acquire) {
+        if self.counts.requests <= self.answers.load(Ordering::Acquire) {
             self.permit.response_started();
         }
         Pin::new(&mut self.socket).poll_write(cx, buf)
     }
     fn poll_flush(mut self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        // What was written went straight to the system: what was answered is out.
-        self.count.out = self.answers.load(Ordering::Acquire);
-        self.tell();
+        // Writes are not buffered here, so every answer produced so far has been written to the socket.
+        self.counts.flushed = self.answers.load(Ordering::Acquire);
+        self.update_state();
         Poll::Ready(Ok(()))
     }
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
