--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' address: HTTP/1.1, one call to a connection. It decides nothing; what it needs of a dispatcher is
-//! a [`OperatorInterface`].
+//! The operators' console: an HTTP/1.1 address with one request per connection, for readiness, counters and the manual
+//! ejection of log workers. All decisions are left to the dispatcher behind an [`OperatorInterface`].
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,47 +21,56 @@
 
 use rookspoke_guard::{ClientSocket, ConnectionLimit, Listener, Permit, Timeouts};
 
-/// Callers at a time: a few operators and programs, and as many who say nothing. The oldest of these leaves first.
+/// Limit on open connections: enough for a few operators and programs, and for as many clients that send nothing, of
+/// which the oldest is closed first.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Callers that say nothing, or half a call, and then do not read, are let go after this.
-const SILENT: Duration = Duration::from_secs(3);
-const CALLER_TIMEOUTS: Timeouts =
-    Timeouts { first_request: SILENT, request: SILENT, idle: SILENT, response: SILENT };
-/// The least that the HTTP library takes, and far more than a call's head needs.
+/// Timeout for clients that send nothing or only part of a request, and for those that do not read the answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+const CLIENT_TIMEOUTS: Timeouts = Timeouts {
+    first_request: CLIENT_TIMEOUT,
+    request: CLIENT_TIMEOUT,
+    idle: CLIENT_TIMEOUT,
+    response: CLIENT_TIMEOUT,
+};
+/// Limit on the size of a request head: the smallest that the HTTP library accepts, and far more than is needed.
 const MAX_HEAD: usize = 8 * 1024;
-/// A call has no body of use; one that says it is longer than this is not read.
+/// Limit on the size of a request body. Bodies are ignored, and one that is declared to be longer is not read.
 const MAX_BODY: usize = 1024;
-/// The longest id.
+/// Limit on the length of a log worker's id.
 const MAX_ID: usize = 128;
-/// Beyond this a call is answered no, whatever it waits for: an answer is due within a second.
-const DUE: Duration = Duration::from_millis(800);
+/// Timeout of a change, which is then answered 503: every answer is due within a second.
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 
 const READY: &str = "/control/ready";
 const COUNTERS: &str = "/control/counters";
 const WORKERS: &str = "/control/log-workers/";
 
-/// Why a log worker is not taken out, or put back.
+/// Reason for which a log worker was not ejected or reinstated.
 #[derive(Debug, Error)]
 pub enum EjectionError {
-    /// Nobody has this id.
-    #[error("found no log worker of this id, expected one that is listed or out by hand")]
+    /// No log worker has this id.
+    #[error("found no log worker with this id, expected one that is listed or manually ejected")]
     UnknownWorker,
-    /// It cannot be done now.
+    /// The change cannot be made now; the text says why.
     #[error("{0}")]
     Failed(String),
 }
 
-/// What a console needs of the dispatcher behind it.
+/// Operations that the console needs from the dispatcher behind it.
 pub trait OperatorInterface: Clone + Send + Sync + 'static {
     /// Whether the dispatcher is ready to serve.
     fn is_ready(&self) -> bool;
-    /// The figures, a line each.
+    /// The dispatcher's metrics, one per line.
     fn metrics(&self) -> String;
-    /// Takes a log worker out, or puts it back. Once this says yes, that holds, and outlives the process.
-    fn set_ejected(&self, worker: &str, out: bool) -> impl Future<Output = Result<(), EjectionError>> + Send;
+    /// Ejects a log worker, or reinstates it. `Ok` means that the change is in effect and survives the process.
+    fn set_ejected(
+        &self,
+        worker: &str,
+        ejected: bool,
+    ) -> impl Future<Output = Result<(), EjectionError>> + Send;
 }
 
-/// Answers calls.
+/// The HTTP service that answers operators' requests.
 #[derive(Clone, Debug)]
 pub struct ConsoleService<D>(pub D);
 
@@ -75,95 +84,109 @@
     }
 
     fn call(&mut self, request: Request<Bytes>) -> Self::Future {
-        let desk = self.0.clone();
-        Box::pin(async move { Ok(answer(&desk, request).await) })
+        let operators = self.0.clone();
+        Box::pin(async move { Ok(respond(&operators, request).await) })
     }
 }
 
-/// What a call asks for.
-enum Asked {
+/// A request of an operator.
+enum Command {
     Ready,
     Counters,
-    Set { worker: String, out: bool },
+    SetEjected { worker: String, ejected: bool },
 }
 
-impl Asked {
-    fn read(method: &Method, path: &str) -> Result<Self, (StatusCode, &'static str)> {
-        let only = |wanted: Method, asked| match *method == wanted {
-            true => Ok(asked),
-            false => Err((StatusCode::METHOD_NOT_ALLOWED, "expected GET for figures, PUT for a change")),
+impl Command {
+    fn parse(method: &Method, path: &str) -> Result<Self, (StatusCode, String)> {
+        let only = |expected: Method, command| match *method == expected {
+            true => Ok(command),
+            false => Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                format!("found method {method}, expected {expected} for this path"),
+            )),
         };
         match path {
-            READY => return only(Method::GET, Asked::Ready),
-            COUNTERS => return only(Method::GET, Asked::Counters),
+            READY => return only(Method::GET, Command::Ready),
+            COUNTERS => return only(Method::GET, Command::Counters),
             _ => {}
         }
-        let unknown = (StatusCode::NOT_FOUND, "found a path that is not known");
+        let unknown_path = || {
+            let text =
+                format!("unknown path, expected {READY}, {COUNTERS} or {WORKERS}ID/offline or /online");
+            (StatusCode::NOT_FOUND, text)
+        };
         let (worker, change) =
-            path.strip_prefix(WORKERS).and_then(|rest| rest.rsplit_once('/')).ok_or(unknown)?;
-        let out = match change {
+            path.strip_prefix(WORKERS).and_then(|rest| rest.rsplit_once('/')).ok_or_else(unknown_path)?;
+        let ejected = match change {
             "offline" => true,
             "online" => false,
-            _ => return Err(unknown),
+            _ => return Err(unknown_path()),
         };
-        let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:@".contains(&byte);
-        if !(1..=MAX_ID).contains(&worker.len()) || !worker.bytes().all(plain) {
-            return Err((
-                StatusCode::BAD_REQUEST,
-                "found an id with other signs than letters, digits and -._~:@",
-            ));
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:@".contains(&byte);
+        if !(1..=MAX_ID).contains(&worker.len()) || !worker.bytes().all(is_allowed) {
+            let text = format!(
+                "found an id of {} bytes, expected 1 to {MAX_ID} letters, digits or any of -._~:@",
+                worker.len()
+            );
+            return Err((StatusCode::BAD_REQUEST, text));
         }
-        only(Method::PUT, Asked::Set { worker: worker.to_owned(), out })
+        only(Method::PUT, Command::SetEjected { worker: worker.to_owned(), ejected })
     }
 }
 
-/// Reads a call to its end: half of one does nothing.
-async fn whole(request: Request<Incoming>) -> Result<Request<Bytes>, Response<Full<Bytes>>> {
+/// Reads a request with its body, so that an incomplete request has no effect.
+async fn read_request(request: Request<Incoming>) -> Result<Request<Bytes>, Response<Full<Bytes>>> {
     let (parts, body) = request.into_parts();
-    let too_long = || plain(StatusCode::PAYLOAD_TOO_LARGE, "found a long body, expected none");
+    let too_long = || {
+        let text = format!("found a request body of more than {MAX_BODY} bytes, expected none");
+        plain_text(StatusCode::PAYLOAD_TOO_LARGE, text)
+    };
     if body.size_hint().lower() > MAX_BODY as u64 {
         return Err(too_long());
     }
     match Limited::new(body, MAX_BODY).collect().await {
         Ok(body) => Ok(Request::from_parts(parts, body.to_bytes())),
         Err(error) if error.is::<LengthLimitError>() => Err(too_long()),
-        Err(_) => Err(plain(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => Err(plain_text(StatusCode::BAD_REQUEST, "the request body is incomplete or malformed")),
     }
 }
 
-async fn answer(desk: &impl OperatorInterface, request: Request<Bytes>) -> Response<Full<Bytes>> {
-    let asked = match Asked::read(request.method(), request.uri().path()) {
-        Ok(asked) => asked,
-        Err((status, text)) => return plain(status, text),
+async fn respond(operators: &impl OperatorInterface, request: Request<Bytes>) -> Response<Full<Bytes>> {
+    let command = match Command::parse(request.method(), request.uri().path()) {
+        Ok(command) => command,
+        Err((status, text)) => return plain_text(status, text),
     };
-    match asked {
-        Asked::Ready if desk.is_ready() => plain(StatusCode::OK, "ready"),
-        Asked::Ready => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
-        Asked::Counters => plain(StatusCode::OK, desk.metrics()),
-        Asked::Set { worker, out } => {
-            let to = if out { "offline" } else { "online" };
-            let done = tokio::time::timeout(DUE, desk.set_ejected(&worker, out)).await;
-            let done =
-                done.unwrap_or_else(|_| Err(EjectionError::Failed("not done in time; ask again".into())));
-            match done {
+    match command {
+        Command::Ready if operators.is_ready() => plain_text(StatusCode::OK, "ready"),
+        Command::Ready => plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+        Command::Counters => plain_text(StatusCode::OK, operators.metrics()),
+        Command::SetEjected { worker, ejected } => {
+            let state = if ejected { "offline" } else { "online" };
+            let change = tokio::time::timeout(CHANGE_TIMEOUT, operators.set_ejected(&worker, ejected)).await;
+            let result = change.unwrap_or_else(|_| {
+                let text =
+                    format!("the change was not completed within {CHANGE_TIMEOUT:?}; repeat the request");
+                Err(EjectionError::Failed(text))
+            });
+            match result {
                 Ok(()) => {
-                    tracing::info!("operators: {worker} is {to}");
-                    plain(StatusCode::OK, to)
+                    tracing::info!("operator request: log worker {worker} is now {state}");
+                    plain_text(StatusCode::OK, state)
                 }
-                Err(no) => {
-                    tracing::warn!("operators: {worker} is not {to}: {no}");
-                    let status = match no {
+                Err(error) => {
+                    tracing::warn!("operator request to set log worker {worker} {state} failed: {error}");
+                    let status = match error {
                         EjectionError::UnknownWorker => StatusCode::NOT_FOUND,
                         EjectionError::Failed(_) => StatusCode::SERVICE_UNAVAILABLE,
                     };
-                    plain(status, no.to_string())
+                    plain_text(status, error.to_string())
                 }
             }
         }
     }
 }
 
-fn plain(status: StatusCode, text: impl Into<String>) -> Response<Full<Bytes>> {
+fn plain_text(status: StatusCode, text: impl Into<String>) -> Response<Full<Bytes>> {
     let mut text = text.into();
     if !text.ends_with('\n') {
         text.push('\n');
@@ -174,29 +197,31 @@
     response
 }
 
-/// Answers on a listener for as long as it is polled.
-pub async fn serve<D: OperatorInterface>(listener: TcpListener, desk: D) {
-    let limit = ConnectionLimit::new(MAX_CONNECTIONS, CALLER_TIMEOUTS);
+/// Serves operators' requests on a listener. Never returns.
+pub async fn serve<D: OperatorInterface>(listener: TcpListener, operators: D) {
+    let limit = ConnectionLimit::new(MAX_CONNECTIONS, CLIENT_TIMEOUTS);
     let mut listener = Listener::new(listener, limit);
-    let mut callers = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
-            (socket, permit) = listener.accept() => drop(callers.spawn(serve_one(socket, permit, desk.clone()))),
-            Some(_) = callers.join_next() => {}
+            (socket, permit) = listener.accept() => {
+                connections.spawn(serve_connection(socket, permit, operators.clone()));
+            }
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
-async fn serve_one<D: OperatorInterface>(socket: ClientSocket, permit: Permit, desk: D) {
-    let owed = permit.clone();
+async fn serve_connection<D: OperatorInterface>(socket: ClientSocket, permit: Permit, operators: D) {
+    let request_permit = permit.clone();
     let service = service_fn(move |request| {
-        let (calls, permit) = (ConsoleService(desk.clone()), owed.clone());
+        let (service, permit) = (ConsoleService(operators.clone()), request_permit.clone());
         async move {
-            match whole(request).await {
+            match read_request(request).await {
                 Ok(request) => {
-                    // Who has said all is owed an answer: no crowd takes the place away.
+                    // From here on an answer is pending, and new connections do not evict this one.
                     permit.request_received();
-                    calls.oneshot(request).await
+                    service.oneshot(request).await
                 }
                 Err(response) => Ok(response),
             }
