--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -1,5 +1,5 @@
-//! Whether another process of the same dispatcher lives: each holds the lock on one of two files in the folder, which
-//! goes with the process however that ends.
+//! Process leases: they tell a process whether another process of the same dispatcher is running. Each process holds the
+//! lock on one of two files in the shared directory; the kernel releases it when the process ends, in whatever way.
 
 use std::fs::File;
 use std::io;
@@ -7,45 +7,46 @@
 
 use super::file::lock;
 
-const NAMES: [&str; 2] = ["rookspoke.tenant.0", "rookspoke.tenant.1"];
+const FILE_NAMES: [&str; 2] = ["rookspoke.tenant.0", "rookspoke.tenant.1"];
 
-/// This process's place in the folder.
+/// The lease of this process on one of the two lock files.
 #[derive(Debug)]
 pub struct ProcessLease {
-    places: [PathBuf; 2],
-    /// Which is this process's own; none as long as others hold both, if only for a look.
+    paths: [PathBuf; 2],
+    /// Index and lock of this process's own file; `None` while others hold both, if only to check them.
     own: Option<(usize, File)>,
 }
 
 impl ProcessLease {
-    /// Takes a free place.
+    /// Acquires a free lease. If both are held, a later [`ProcessLease::is_peer_running`] tries again.
     ///
     /// # Errors
     /// The files cannot be opened or locked.
-    pub fn acquire(folder: &Path) -> io::Result<Self> {
-        let mut tenancy = ProcessLease { places: NAMES.map(|name| folder.join(name)), own: None };
-        tenancy.settle()?;
-        Ok(tenancy)
+    pub fn acquire(directory: &Path) -> io::Result<Self> {
+        let mut lease = ProcessLease { paths: FILE_NAMES.map(|name| directory.join(name)), own: None };
+        lease.try_acquire()?;
+        Ok(lease)
     }
 
-    /// Another process that looks holds the free place for a moment, so one that found none tries again later.
-    fn settle(&mut self) -> io::Result<()> {
-        for at in 0..self.places.len() {
+    /// Acquires a lease if this process has none yet. A peer that checks for others holds the free file for a moment,
+    /// so both may be held at the start.
+    fn try_acquire(&mut self) -> io::Result<()> {
+        for at in 0..self.paths.len() {
             if self.own.is_none() {
-                self.own = lock(&self.places[at])?.map(|file| (at, file));
+                self.own = lock(&self.paths[at])?.map(|file| (at, file));
             }
         }
         Ok(())
     }
 
-    /// Whether another process lives.
+    /// Whether another process of the dispatcher is running.
     ///
     /// # Errors
-    /// The other place cannot be looked at.
+    /// A file cannot be opened or locked.
     pub fn is_peer_running(&mut self) -> io::Result<bool> {
-        self.settle()?;
+        self.try_acquire()?;
         match &self.own {
-            Some((at, _)) => Ok(lock(&self.places[1 - at])?.is_none()),
+            Some((at, _)) => Ok(lock(&self.paths[1 - at])?.is_none()),
             None => Ok(true),
         }
     }
@@ -56,29 +57,30 @@
     use super::*;
 
     #[test]
-    fn each_of_two_sees_the_other_for_as_long_as_it_lives() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut first = ProcessLease::acquire(folder.path()).expect("a place");
-        assert!(!first.is_peer_running().expect("a look"));
-        let mut second = ProcessLease::acquire(folder.path()).expect("a place");
-        assert!(first.is_peer_running().expect("a look") && second.is_peer_running().expect("a look"));
+    fn each_of_two_processes_detects_the_other_while_it_runs() {
+        let directory = tempfile::tempdir().expect("a temporary directory");
+        let mut first = ProcessLease::acquire(directory.path()).expect("acquired");
+        assert!(!first.is_peer_running().expect("checked"));
+        let mut second = ProcessLease::acquire(directory.path()).expect("acquired");
+        assert!(first.is_peer_running().expect("checked") && second.is_peer_running().expect("checked"));
         drop(first);
-        assert!(!second.is_peer_running().expect("a look"));
-        let mut third = ProcessLease::acquire(folder.path()).expect("a place");
-        assert!(second.is_peer_running().expect("a look") && third.is_peer_running().expect("a look"));
+        assert!(!second.is_peer_running().expect("checked"));
+        let mut third = ProcessLease::acquire(directory.path()).expect("acquired");
+        assert!(second.is_peer_running().expect("checked") && third.is_peer_running().expect("checked"));
     }
 
-    /// A look holds the free place for a moment: one that starts in it takes its place later, and is seen then.
+    /// A check for peers locks the free file for a moment. A process that starts in that moment gets its lease later, and
+    /// is detected then.
     #[test]
-    fn one_that_starts_while_another_looks_is_seen_soon() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut first = ProcessLease::acquire(folder.path()).expect("a place");
-        let look = lock(&folder.path().join(NAMES[1])).expect("a lock").expect("free");
-        let mut second = ProcessLease::acquire(folder.path()).expect("none, for now");
-        assert!(second.is_peer_running().expect("a look"), "both are held");
-        drop(look);
-        assert!(second.is_peer_running().expect("a look") && first.is_peer_running().expect("a look"));
+    fn a_process_that_starts_during_a_check_is_detected_soon() {
+        let directory = tempfile::tempdir().expect("a temporary directory");
+        let mut first = ProcessLease::acquire(directory.path()).expect("acquired");
+        let check = lock(&directory.path().join(FILE_NAMES[1])).expect("no error").expect("the lock is free");
+        let mut second = ProcessLease::acquire(directory.path()).expect("no lease yet, and no error");
+        assert!(second.is_peer_running().expect("checked"), "both files are locked");
+        drop(check);
+        assert!(second.is_peer_running().expect("checked") && first.is_peer_running().expect("checked"));
         drop(second);
-        assert!(!first.is_peer_running().expect("a look"));
+        assert!(!first.is_peer_running().expect("checked"));
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the processes of one dispatcher share through a folder: the log workers that are out by hand ([`bans`]), and
-//! who lives ([`lease`]). A file begins with its version and a checksum, and is put in place whole by a rename:
-//! whoever reads finds the former or the next, or an error that says what is wrong.
+//! State that the processes of one dispatcher share through a directory: the operator bans ([`bans`]) and the leases that
+//! show which processes are running ([`lease`]). A state file begins with a version and a checksum, and is replaced
+//! atomically by a rename: a reader finds the old or the new content, or an error that says what is wrong.
 
 pub mod bans;
 mod file;
