--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -17,7 +17,7 @@
 use tower::Service;
 
 use rookspoke_channel::{plain, ResponseBody, MAX_BUFFER};
-use rookspoke_guard::{Framed, Permit, Socket};
+use rookspoke_guard::{ClientSocket, FramedSocket, Permit};
 
 use crate::server_state::ServerState;
 
@@ -61,12 +61,12 @@
 }
 
 /// Serves one connection until it is closed.
-pub async fn serve(context: Context, socket: Socket, permit: Permit) {
+pub async fn serve(context: Context, socket: ClientSocket, permit: Permit) {
     let Context { state, mut phase } = context;
     let counters = state.channel().counters().clone();
     let responses = Responses::default();
-    let (unread, end) = (socket.unread(), socket.end());
-    let framed = Framed::new(socket, permit.clone(), responses.count.clone());
+    let (unread, socket_handle) = (socket.unread_check(), socket.handle());
+    let framed = FramedSocket::new(socket, permit.clone(), responses.count.clone());
     let cut_off = framed.cut_off();
     let service = {
         let (responses, phase) = (responses.clone(), phase.clone());
@@ -86,7 +86,7 @@
                 return;
             }
             // Hyper does not notice a close that lies behind unread bytes, and would continue the job.
-            () = end.closed_by_client() => return,
+            () = socket_handle.closed_by_client() => return,
             next = next_phase(&mut phase, current_phase), if current_phase < Phase::CutOff => {
                 current_phase = next;
                 if current_phase == Phase::CutOff {
@@ -112,11 +112,11 @@
     }
     let discard = malformed || responses.last_rejected.load(Ordering::Acquire);
     tokio::select! {
-        () = end.linger(LINGER_TIMEOUT, discard) => {}
+        () = socket_handle.linger(LINGER_TIMEOUT, discard) => {}
         () = permit.close_requested() => {}
     }
     // The permit is released only after the socket is closed.
-    drop(end);
+    drop(socket_handle);
     drop(permit);
 }
 
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use rookspoke_channel::Channel;
-use rookspoke_console::{Desk, No};
+use rookspoke_console::{EjectionError, OperatorInterface};
 use rookspoke_decisions::{Ban, Time};
 use rookspoke_dispatch::{Counter, Counters};
 use rookspoke_faktory as faktory;
-use rookspoke_state::bans::{BanError, Held, Stamp, Store};
+use rookspoke_state::bans::{BanError, BanSet, BanStore, FileVersions};
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
@@ -39,12 +39,12 @@
         }
     }
 
-    async fn apply_bans(&self, held: &Held) {
-        let names: Vec<&str> = held.bans.keys().map(String::as_str).collect();
+    async fn apply_bans(&self, set: &BanSet) {
+        let names: Vec<&str> = set.bans.keys().map(String::as_str).collect();
         let names = if names.is_empty() { "none".into() } else { names.join(", ") };
         tracing::info!("manually ejected log workers: {names}");
         let ban = |(name, since): (&String, &i64)| Ban { worker: name.as_str().into(), since: Time(*since) };
-        let bans: Arc<[Ban]> = held.bans.iter().map(ban).collect();
+        let bans: Arc<[Ban]> = set.bans.iter().map(ban).collect();
         self.channel.ban(bans.clone()).await;
         if let Some(faktory) = &self.faktory {
             faktory.ban(bans).await;
@@ -54,7 +54,7 @@
 
 /// Keeps the bans of the fronts in step with the ban files: log workers that operators ejected manually.
 pub struct BanSync {
-    store: Store,
+    store: BanStore,
     fronts: Fronts,
     /// The bans in effect in this process. Locked while files are read or written, so that changes are applied to the
     /// fronts in the order in which they were read.
@@ -64,15 +64,15 @@
 /// The bans in effect in this process.
 #[derive(Default)]
 struct CurrentBans {
-    held: Held,
-    /// Version of the files when they were last read.
-    file_version: Option<Stamp>,
+    bans: BanSet,
+    /// Versions of the files when they were last read.
+    file_versions: Option<FileVersions>,
     /// The error of the last read, if it failed; an unchanged error is not logged again.
     error: Option<String>,
 }
 
 impl BanSync {
-    pub fn new(store: Store, fronts: Fronts) -> Self {
+    pub fn new(store: BanStore, fronts: Fronts) -> Self {
         BanSync { store, fronts, current: Mutex::default() }
     }
 
@@ -89,8 +89,8 @@
     /// polled again.
     async fn poll_files(&self) -> bool {
         let mut current = self.current.lock().await;
-        let file_version = self.store.stamp();
-        if current.file_version == Some(file_version) {
+        let file_versions = self.store.file_versions();
+        if current.file_versions == Some(file_versions) {
             return true;
         }
         match self.store.read() {
@@ -100,11 +100,11 @@
                         "manually ejected log workers: one of the two files is damaged, using the other: {damage}"
                     );
                 }
-                if current.held != new {
+                if current.bans != new {
                     self.fronts.apply_bans(&new).await;
-                    current.held = new;
+                    current.bans = new;
                 }
-                (current.file_version, current.error) = (Some(file_version), None);
+                (current.file_versions, current.error) = (Some(file_versions), None);
                 true
             }
             // The bans in this process stay in effect, and the next change writes them to the files.
@@ -120,19 +120,19 @@
     }
 
     /// Ejects a log worker, or ends its ejection, in the files and in the fronts.
-    async fn set_banned(&self, worker: &str, banned: bool) -> Result<(), No> {
+    async fn set_banned(&self, worker: &str, banned: bool) -> Result<(), EjectionError> {
         let mut current = self.current.lock().await;
         // Not the wall clock, which may be stepped: the time is compared with the clock of the dispatch decisions.
         let now = self.fronts.channel.now().0;
         let new = loop {
-            match self.store.change(worker, banned, now, &current.held) {
+            match self.store.set_banned(worker, banned, now, &current.bans) {
                 Ok(new) => break new,
                 Err(BanError::Busy(_)) => sleep(LOCK_RETRY_INTERVAL).await,
-                Err(error) => return Err(No::Failed(error.to_string())),
+                Err(error) => return Err(EjectionError::Failed(error.to_string())),
             }
         };
         self.fronts.apply_bans(&new).await;
-        current.held = new;
+        current.bans = new;
         Ok(())
     }
 
@@ -171,12 +171,12 @@
     }
 }
 
-impl Desk for ConsoleBackend {
-    fn ready(&self) -> bool {
+impl OperatorInterface for ConsoleBackend {
+    fn is_ready(&self) -> bool {
         self.state.is_ready()
     }
 
-    fn figures(&self) -> String {
+    fn metrics(&self) -> String {
         let mut text = String::new();
         self.write_class_metric(&mut text, "passed", |class| &class.served);
         self.write_class_metric(&mut text, "dropped", |class| &class.refused);
@@ -194,20 +194,20 @@
         text
     }
 
-    async fn set_out(&self, worker: &str, out: bool) -> Result<(), No> {
+    async fn set_ejected(&self, worker: &str, ejected: bool) -> Result<(), EjectionError> {
         let Some(bans) = &self.bans else {
-            return Err(No::Failed(
+            return Err(EjectionError::Failed(
                 "found no `state` folder in the configuration, expected one that outlives this process"
                     .into(),
             ));
         };
         if !bans.fronts.is_known(worker).await {
-            return Err(No::Unknown);
+            return Err(EjectionError::UnknownWorker);
         }
         // A task of its own, which completes even if the caller disconnects: otherwise the files could change without
         // the fronts.
         let (bans, worker) = (bans.clone(), worker.to_owned());
-        let change = tokio::spawn(async move { bans.set_banned(&worker, out).await });
-        change.await.unwrap_or_else(|error| Err(No::Failed(error.to_string())))
+        let change = tokio::spawn(async move { bans.set_banned(&worker, ejected).await });
+        change.await.unwrap_or_else(|error| Err(EjectionError::Failed(error.to_string())))
     }
 }
--- a/crates/rookspoke/src/share.rs
+++ b/crates/rookspoke/src/share.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rookspoke_guard::ConnectionLimit;
-use rookspoke_state::tenancy::Tenancy;
+use rookspoke_state::lease::ProcessLease;
 use tokio::time::{interval, Interval, MissedTickBehavior};
 
 use crate::server_state::ServerState;
@@ -38,7 +38,7 @@
 
 /// Limits this process to half of the descriptors while another process of the dispatcher is running.
 pub struct DescriptorShare {
-    lease: Tenancy,
+    lease: ProcessLease,
     limit: ConnectionLimit,
     sockets: usize,
     shared: bool,
@@ -48,7 +48,7 @@
     /// Takes a process lease in the state folder. If that fails, the error is logged and `None` returned: the process
     /// runs as usual, but does not detect another one.
     pub fn acquire(folder: &Path, limit: ConnectionLimit, sockets: usize) -> Option<Self> {
-        let lease = Tenancy::take(folder).inspect_err(|error| {
+        let lease = ProcessLease::acquire(folder).inspect_err(|error| {
             tracing::warn!(
                 "another process of this dispatcher would not be detected: {}: {error}",
                 folder.display()
@@ -59,7 +59,7 @@
 
     /// Checks once whether another process is running, and adapts the connection limits to it.
     pub fn update(&mut self, state: &ServerState) {
-        let shared = self.lease.is_shared().unwrap_or(self.shared);
+        let shared = self.lease.is_peer_running().unwrap_or(self.shared);
         if shared != self.shared {
             self.shared = shared;
             tracing::info!(
