--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -57,7 +57,7 @@
     /// The longest time a client waits for a response; the plan of a graceful shutdown depends on it.
     longest_deadline: watch::Sender<Duration>,
     /// Set once the HTTP front is started.
-    state: Option<ServerState>,
+    server_state: Option<ServerState>,
     /// Handle for operator commands to the Faktory front, if it is enabled.
     faktory: Option<faktory::Operators>,
     /// The console and the polling of the state folder; these tasks run until the process exits.
@@ -100,19 +100,19 @@
         self.dispatch_tasks.spawn(async move {
             tracing::error!("the HTTP dispatch task ended unexpectedly: {:?}", core.await)
         });
-        let state = ServerState::new(channel.clone());
-        self.state = Some(state.clone());
+        let server_state = ServerState::new(channel.clone());
+        self.server_state = Some(server_state.clone());
         if let Some(console) = console {
-            self.start_console(config, console, state.clone()).await?;
+            self.start_console(config, console, server_state.clone()).await?;
         }
         let client_limit = share::client_limit(config.limits.sockets);
-        let front = Front::new(state.clone(), client_limit, self.longest_deadline.subscribe());
+        let front = Front::new(server_state.clone(), client_limit, self.longest_deadline.subscribe());
         // An inherited listener is used for upgrades under load, where two processes run at the same time.
         if let (Some(_), Some(folder)) = (config.accept_fd, &config.state) {
             let share = DescriptorShare::acquire(folder, front.limit().clone(), config.limits.sockets);
             if let Some(mut share) = share {
-                share.update(&state);
-                self.operator_tasks.spawn(share.run(state.clone()));
+                share.update(&server_state);
+                self.operator_tasks.spawn(share.run(server_state.clone()));
             }
         }
         self.servers.spawn(front.serve(listener, config.accept_fd.is_some(), self.stopped()));
@@ -125,11 +125,11 @@
         &mut self,
         config: &Config,
         listener: TcpListener,
-        state: ServerState,
+        server_state: ServerState,
     ) -> Result<(), StartError> {
         let at = listener.local_addr().map_err(|e| StartError::Io("console", e))?;
         let store = config.state.as_ref().map(BanStore::new);
-        let fronts = Fronts { channel: state.channel().clone(), faktory: self.faktory.clone() };
+        let fronts = Fronts { channel: server_state.channel().clone(), faktory: self.faktory.clone() };
         let bans = store.map(|store| Arc::new(BanSync::new(store, fronts)));
         if let Some(bans) = &bans {
             // Bans have to be in effect before the first job or probe is sent.
@@ -137,8 +137,10 @@
             self.operator_tasks.spawn(bans.clone().run());
         }
         let counters = self.counters.iter().map(|(_, counters)| counters.clone()).collect();
-        self.operator_tasks
-            .spawn(rookspoke_console::serve(listener, ConsoleBackend { state, counters, bans }));
+        self.operator_tasks.spawn(rookspoke_console::serve(
+            listener,
+            ConsoleBackend { state: server_state, counters, bans },
+        ));
         tracing::info!("{}: the console listens at {at}", config.name);
         Ok(())
     }
@@ -173,7 +175,8 @@
     /// Starts the control socket, which runs until the process exits, also during a shutdown.
     fn start_control(&self, name: &str, control: Control) -> JoinSet<()> {
         let (name, start, stop) = (name.to_owned(), Instant::now(), self.stop.subscribe());
-        let (state, vrrp, logging) = (self.state.clone(), self.vrrp.clone(), self.logging.clone());
+        let (server_state, vrrp, logging) =
+            (self.server_state.clone(), self.vrrp.clone(), self.logging.clone());
         let counters = self.counters.clone();
         let status = move || {
             let owned = |pairs: Vec<(&str, u64)>| {
@@ -186,7 +189,7 @@
                 version: env!("CARGO_PKG_VERSION").into(),
                 pid: std::process::id(),
                 uptime_s: start.elapsed().as_secs(),
-                ready: state.as_ref().is_some_and(ServerState::is_ready),
+                ready: server_state.as_ref().is_some_and(ServerState::is_ready),
                 ending: *stop.borrow(),
                 master: vrrp.as_ref().map(|(_, master)| *master.borrow()),
                 log_dropped: logging.dropped() as u64,
@@ -220,8 +223,8 @@
                 comma_separated(&changes.at_restart)
             );
         }
-        if let (Some(state), true) = (&self.state, list_changed) {
-            state.channel().take_list_from(new.config.source.clone()).await;
+        if let (Some(server_state), true) = (&self.server_state, list_changed) {
+            server_state.channel().take_list_from(new.config.source.clone()).await;
         }
         // The platform may compute the time of SIGKILL from the old deadlines or from the new ones; with the shorter
         // of both a shutdown ends in time in either case.
@@ -268,7 +271,7 @@
         vrrp: None,
         stop: watch::Sender::new(false),
         longest_deadline: watch::Sender::new(longest_deadline(&setup.config)),
-        state: None,
+        server_state: None,
         faktory: None,
         operator_tasks: JoinSet::new(),
         logging: logging.clone(),
