--- a/crates/channel/src/connection.rs
+++ b/crates/channel/src/connection.rs
@@ -81,7 +81,7 @@
                 self.written.whole.store(true, Ordering::Release);
                 // Here and not after the answer: an attempt that is called off was written, too.
                 if self.written.counts.load(Ordering::Acquire) {
-                    self.written.counters.written.add();
+                    self.written.counters.written.increment();
                 }
                 self.place = Place::Head(0);
             }
--- a/crates/channel/src/fleet.rs
+++ b/crates/channel/src/fleet.rs
@@ -12,9 +12,9 @@
 
 use super::resolver::Order;
 use super::subchannel::{lock, Call, Shared, Subchannel};
-use rookspoke_config::Update;
+use rookspoke_config::ListUpdate;
 use rookspoke_decisions::{Ban, ListScope, Listing, Name, Outcome, Readiness};
-use rookspoke_dispatch::{CallAttempt, Ended, Probed, Transport};
+use rookspoke_dispatch::{AttemptResult, CallAttempt, ProbeResult, Transport};
 
 /// How often idle connections are looked through.
 const SWEEP: Duration = Duration::from_secs(1);
@@ -57,7 +57,7 @@
 
     /// Takes a list or its changes, whose entries `listings` holds as the decisions take them. What is gone or draining
     /// is shut for new work from this moment on, before the decisions hear of it.
-    pub fn apply(&self, scope: ListScope, update: &Update, listings: &[Listing]) {
+    pub fn apply(&self, scope: ListScope, update: &ListUpdate, listings: &[Listing]) {
         let banned = lock(&self.banned);
         let mut subchannels = self.lock();
         if scope != ListScope::Changes {
@@ -124,7 +124,7 @@
     fn send(
         &mut self,
         attempt: CallAttempt<Arc<Call>>,
-    ) -> impl Future<Output = Ended<Bytes>> + Send + 'static {
+    ) -> impl Future<Output = AttemptResult<Bytes>> + Send + 'static {
         let subchannel = self.fleet.get(&attempt.worker);
         async move {
             match subchannel {
@@ -137,17 +137,17 @@
         }
     }
 
-    fn probe(&mut self, worker: Name) -> impl Future<Output = Probed> + Send + 'static {
+    fn probe(&mut self, worker: Name) -> impl Future<Output = ProbeResult> + Send + 'static {
         let subchannel = self.fleet.get(&worker);
         async move {
             match subchannel {
                 Some(subchannel) => subchannel.probe().await,
-                None => Probed { outcome: Outcome::NotSent, load: None },
+                None => ProbeResult { outcome: Outcome::NotSent, load: None },
             }
         }
     }
 
-    fn watch(&mut self) {
+    fn watch_list(&mut self) {
         self.order(Order::Watch);
     }
 
--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -36,7 +36,7 @@
 use resolver::Order;
 use rookspoke_config::{Config, ListSource};
 use rookspoke_decisions::{Ban, ClassId, Effect, Note, RequestId, SettingsError, Span, Time};
-use rookspoke_dispatch::{request_span, Answer, Ask, Clock, Core, Counters, Handle, Limits};
+use rookspoke_dispatch::{request_span, Answer, Clock, Core, Counters, Handle, Limits, Submission};
 use rookspoke_wire::Vocabulary;
 use subchannel::{Call, Shared, Subchannel, NO_WATCH};
 
@@ -125,10 +125,10 @@
         let notes = handle.clone();
         let shared = Arc::new(Shared {
             clock,
-            words: config.words.clone(),
+            words: config.vocabulary.clone(),
             notes: Arc::new(move |request, attempt, note| {
                 let notes = notes.clone();
-                Box::pin(async move { notes.note(request, attempt, note).await })
+                Box::pin(async move { notes.report_progress(request, attempt, note).await })
             }),
             counters: handle.counters().clone(),
             room: Arc::new(Semaphore::new((sockets as f64 * WORKER_PART) as usize)),
@@ -151,7 +151,7 @@
         let core = core.run(settings, seed, clock, transport);
         tokio::spawn(fleet.clone().sweep());
         tokio::spawn(discover(config, handle.clone(), fleet.clone(), inbox, set_ready));
-        let words = Arc::new(config.words.clone());
+        let words = Arc::new(config.vocabulary.clone());
         let limits = &config.settings.limits;
         let come_back = limits.retry_after.then(|| COME_BACK.min(limits.max_retry_after));
         let open_ids = OpenIds::default();
@@ -193,7 +193,7 @@
             Answer::Refused { .. } => "refused",
             Answer::Failed => "failed",
         };
-        self.counters().shutdown_answers.add();
+        self.counters().shutdown_answers.increment();
         let class = self.words.classes[class.0].as_ref();
         let left_ms = limits.answer_by.saturating_duration_since(Instant::now()).as_millis() as u64;
         tracing::info!(
@@ -213,14 +213,14 @@
 
     /// Whether a log worker is listed, or taken out by hand.
     pub async fn knows(&self, worker: &str) -> bool {
-        self.handle.knows(worker).await
+        self.handle.is_known(worker).await
     }
 
     /// Says all that operators have taken out by hand; nothing new goes there once this has ended.
     pub async fn ban(&self, bans: Arc<[Ban]>) {
         // The subchannels first: what is dialling already finds them shut.
         self.fleet.ban(&bans);
-        self.handle.ban(bans).await;
+        self.handle.set_bans(bans).await;
     }
 
     /// Shares its descriptors, less so many, with another process from now on; or with none. Connections that are
@@ -272,7 +272,7 @@
     }
 
     /// Judges a request, reads its body, and opens its id.
-    async fn read<B>(&self, request: Request<B>) -> Result<(Ask<Arc<Call>>, OpenId), BadRequest>
+    async fn read<B>(&self, request: Request<B>) -> Result<(Submission<Arc<Call>>, OpenId), BadRequest>
     where
         B: Body,
         B::Data: Buf,
@@ -311,7 +311,21 @@
         let (once, over) = (effect == Effect::Unsafe, false.into());
         let call = Arc::new(Call { method: parts.method, uri, headers, id, body, once, over });
         let Facts { slots, memory } = facts;
-        Ok((Ask { class, tenant, key, tag, work, slots, memory, deadline, call, span }, open))
+        Ok((
+            Submission {
+                class,
+                tenant,
+                key,
+                idempotency_hash: tag,
+                work,
+                slots,
+                memory,
+                deadline,
+                call,
+                span,
+            },
+            open,
+        ))
     }
 }
 
@@ -337,7 +351,7 @@
                 Ok((ask, _open)) => {
                     let over = Over(ask.call.clone());
                     let class = ask.class;
-                    let answer = channel.advise(channel.handle.ask(ask).await);
+                    let answer = channel.advise(channel.handle.submit(ask).await);
                     channel.log_at_shutdown(&over.0.id, class, &answer);
                     match is_call {
                         true => grpc::respond(answer),
@@ -345,7 +359,7 @@
                     }
                 }
                 Err(bad) => {
-                    channel.counters().malformed.add();
+                    channel.counters().malformed.increment();
                     tracing::debug!("a request is turned down: {bad}");
                     match is_call {
                         true => grpc::turn_down(&bad),
--- a/crates/channel/src/membership.rs
+++ b/crates/channel/src/membership.rs
@@ -12,7 +12,7 @@
 use super::resolver::{Failure, Order, Resolver, ResolverResult};
 use super::start_times::StartTimes;
 use super::subchannel::{lock, Call, NO_WATCH};
-use rookspoke_config::{Config, Target, Update};
+use rookspoke_config::{Config, ListUpdate, Target};
 use rookspoke_decisions::{Discovery, ListScope, Listing, Name, Readiness};
 use rookspoke_dispatch::{Counters, Handle};
 
@@ -28,9 +28,9 @@
     orders: mpsc::Receiver<Order>,
     ready: watch::Sender<bool>,
 ) -> impl Future<Output = ()> + Send + 'static {
-    let known = config.known.clone();
+    let known = config.last_known_list.clone();
     let pushed = config.settings.discovery == Discovery::Automatic;
-    let resolver = Resolver::new(config.source.clone(), known.as_ref().map(|k| k.rev), pushed);
+    let resolver = Resolver::new(config.list_source.clone(), known.as_ref().map(|k| k.rev), pushed);
     let clock = fleet.shared.clock;
     let ready = Arc::new(ready);
     async move {
@@ -38,13 +38,13 @@
         let start_times = Arc::new(Mutex::new(StartTimes::default()));
         let take = {
             let (handle, fleet, start_times) = (handle.clone(), fleet.clone(), start_times.clone());
-            move |scope, update: &Update| {
+            move |scope, update: &ListUpdate| {
                 report_unreadable(handle.counters(), update);
                 take_update(&start_times, &fleet, scope, update)
             }
         };
         let entries = known.as_ref().map(|known| take(ListScope::Remembered, known));
-        handle.list(ListScope::Remembered, entries.unwrap_or_default()).await;
+        handle.update_list(ListScope::Remembered, entries.unwrap_or_default()).await;
         if known.is_some() {
             let ready = ready.clone();
             tokio::spawn(async move {
@@ -64,21 +64,21 @@
                     ResolverResult::Update(scope, update) => {
                         let entries = take(scope, &update);
                         fleet.shared.list_unread.store(false, Ordering::Release);
-                        handle.list(scope, entries).await;
+                        handle.update_list(scope, entries).await;
                         ready.send_replace(true);
                     }
                     ResolverResult::Failed(Failure::Unavailable) => {
-                        handle.list(ListScope::Failed, Arc::new([])).await;
+                        handle.update_list(ListScope::Failed, Arc::new([])).await;
                     }
                     ResolverResult::Failed(Failure::Unusable) => {
                         fleet.shared.list_unread.store(true, Ordering::Release);
-                        handle.counters().lists_unusable.add();
-                        handle.list(ListScope::Unusable, Arc::new([])).await;
+                        handle.counters().lists_unusable.increment();
+                        handle.update_list(ListScope::Unusable, Arc::new([])).await;
                     }
-                    ResolverResult::Moved => handle.list(ListScope::Moved, Arc::new([])).await,
+                    ResolverResult::Moved => handle.update_list(ListScope::Moved, Arc::new([])).await,
                     ResolverResult::Silent(since) => {
                         let since = clock.at(since);
-                        handle.list(ListScope::Silent { since }, Arc::new([])).await;
+                        handle.update_list(ListScope::Silent { since }, Arc::new([])).await;
                     }
                 }
             }
@@ -88,10 +88,10 @@
 }
 
 /// Counts and logs entries that were left out.
-fn report_unreadable(counters: &Counters, update: &Update) {
+fn report_unreadable(counters: &Counters, update: &ListUpdate) {
     let Some(first) = update.unreadable.first() else { return };
     let count = update.unreadable.len();
-    counters.list_entries_unreadable.add_many(count);
+    counters.list_entries_unreadable.add(count);
     tracing::error!(
         version = update.rev,
         count,
@@ -104,7 +104,7 @@
     start_times: &Mutex<StartTimes>,
     fleet: &Fleet,
     scope: ListScope,
-    update: &Update,
+    update: &ListUpdate,
 ) -> Arc<[Listing]> {
     let mut entries: Vec<Listing> = update.targets.iter().map(Target::listing).collect();
     fleet.apply(scope, update, &entries);
--- a/crates/channel/src/resolver.rs
+++ b/crates/channel/src/resolver.rs
@@ -17,7 +17,7 @@
 
 use super::list_stream::{Item, ListStream, Receiving, StreamError, SILENCE};
 use super::stream::Stream;
-use rookspoke_config::{ListSource, Update};
+use rookspoke_config::{ListSource, ListUpdate};
 use rookspoke_decisions::ListScope;
 
 const PATH: &str = "/registry/instances";
@@ -33,7 +33,7 @@
     /// A watch is open, whose last word came then; or none is.
     Word(Option<Instant>),
     /// News of the list.
-    Update(ListScope, Arc<Update>),
+    Update(ListScope, Arc<ListUpdate>),
     /// The call failed or the watch broke.
     Failed(Failure),
     /// The watch was given up; its last word came then.
@@ -249,7 +249,7 @@
                 (Item::Object(object), _) => self.take(&object, tell).await?,
                 // Nothing has changed since the version held: that is news of a list that had been in doubt.
                 (Item::Heartbeat, Some(rev)) if first => {
-                    self.pass_on(Update::new(rev, false, Vec::new()), tell).await;
+                    self.pass_on(ListUpdate::new(rev, false, Vec::new()), tell).await;
                 }
                 (Item::Heartbeat, _) => {}
             }
@@ -282,21 +282,21 @@
         Fut: Future<Output = ()>,
     {
         let begun = Instant::now();
-        let update = Update::read(object)?;
+        let update = ListUpdate::read(object)?;
         let (version, entries, unreadable) = (update.rev, update.targets.len(), update.unreadable.len());
-        let complete = update.all;
+        let complete = update.complete;
         self.pass_on(update, tell).await;
         let (bytes, took_us) = (object.len(), begun.elapsed().as_micros() as u64);
         tracing::info!(version, entries, unreadable, complete, bytes, took_us, "discovery: a list is taken");
         Ok(())
     }
 
-    async fn pass_on<F, Fut>(&mut self, update: Update, tell: &F)
+    async fn pass_on<F, Fut>(&mut self, update: ListUpdate, tell: &F)
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
-        let scope = if update.all { ListScope::Complete } else { ListScope::Changes };
+        let scope = if update.complete { ListScope::Complete } else { ListScope::Changes };
         let rev = update.rev;
         tell(ResolverResult::Update(scope, Arc::new(update))).await;
         // Not before: what an order cuts off here is told again.
--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -22,7 +22,7 @@
 use super::lines::Lines;
 use super::{headers, report, Notes};
 use rookspoke_decisions::{LoadReport, Name, Note, Outcome, Time, TOLD_WITHIN};
-use rookspoke_dispatch::{CallAttempt, Clock, Counters, Ended, Probed};
+use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Counters, ProbeResult};
 use rookspoke_wire::Vocabulary;
 
 /// Idle connections kept to one log worker.
@@ -104,7 +104,7 @@
         let idle = subchannels.values().filter(|subchannel| idle_since(subchannel).is_some());
         if let Some(oldest) = idle.min_by_key(idle_since) {
             lock(&oldest.0.idle).pop_front();
-            self.counters.connections_displaced.add();
+            self.counters.connections_displaced.increment();
         }
     }
 
@@ -236,7 +236,7 @@
     async fn open(&self) -> Result<Connection, Failed> {
         let shared = &self.0.shared;
         let room = shared.take_room().ok_or_else(|| {
-            shared.counters.connections_without_room.add();
+            shared.counters.connections_without_room.increment();
             tracing::warn!("no room for another connection to {}", self.0.name);
             Outcome::NotSent
         })?;
@@ -292,7 +292,7 @@
         }
     }
 
-    async fn attempt(self, attempt: CallAttempt<Arc<Call>>) -> Ended<Bytes> {
+    async fn attempt(self, attempt: CallAttempt<Arc<Call>>) -> AttemptResult<Bytes> {
         let shared = &self.0.shared;
         let left = shared.clock.until(attempt.deadline);
         match timeout(left, self.run(&attempt)).await {
@@ -301,7 +301,7 @@
         }
     }
 
-    async fn run(&self, attempt: &CallAttempt<Arc<Call>>) -> Ended<Bytes> {
+    async fn run(&self, attempt: &CallAttempt<Arc<Call>>) -> AttemptResult<Bytes> {
         let shared = &self.0.shared;
         let call = &attempt.call;
         let request = || {
@@ -316,7 +316,7 @@
         };
         let what = if call.once { What::Once } else { What::Again };
         let takes_work = || self.0.ready.load(Ordering::Acquire) && !self.is_banned();
-        let in_time = |now: Time| now < attempt.by && now < attempt.deadline && shared.list_holds(now);
+        let in_time = |now: Time| now < attempt.send_by && now < attempt.deadline && shared.list_holds(now);
         let may_send = || takes_work() && in_time(shared.clock.now()) && !call.over.load(Ordering::Acquire);
         let (connection, response) = match self.exchange(request, call.body.len(), what, may_send).await {
             Ok(done) => done,
@@ -337,7 +337,7 @@
                     _ => Outcome::Error,
                 };
                 self.finish(connection, Lines::new(response.into_body()));
-                Ended { result: Err(outcome), load }
+                AttemptResult { result: Err(outcome), load }
             }
         }
     }
@@ -349,7 +349,7 @@
         connection: Connection,
         response: Response<Incoming>,
         mut load: Option<LoadReport>,
-    ) -> Ended<Bytes> {
+    ) -> AttemptResult<Bytes> {
         let shared = &self.0.shared;
         let mut lines = Lines::new(response.into_body());
         let (request, number) = (attempt.request, attempt.attempt);
@@ -389,7 +389,7 @@
                     let result = object.result.map(|raw| line.slice_ref(raw.get().as_bytes()));
                     let result = result.unwrap_or_default();
                     self.finish(connection, lines);
-                    return Ended { result: Ok(plain_text(result)), load };
+                    return AttemptResult { result: Ok(plain_text(result)), load };
                 }
                 "failed" => break Err(Outcome::Error),
                 "returned" => break Err(Outcome::TurnedAway),
@@ -400,7 +400,7 @@
         if let Err(Outcome::Error | Outcome::TurnedAway) = result {
             self.finish(connection, lines);
         }
-        Ended { result, load }
+        AttemptResult { result, load }
     }
 
     /// Reads what is left of an answer in the background, then keeps the connection.
@@ -421,7 +421,7 @@
     }
 
     /// Asks the log worker for its load.
-    pub async fn probe(self) -> Probed {
+    pub async fn probe(self) -> ProbeResult {
         let shared = &self.0.shared;
         let request = || {
             let mut request = Request::new(Full::default());
@@ -439,9 +439,9 @@
             if connection.ready().await {
                 self.keep(connection);
             }
-            Ok(Probed { outcome, load: header.or_else(|| report::from_body(&body, &shared.words)) })
+            Ok(ProbeResult { outcome, load: header.or_else(|| report::from_body(&body, &shared.words)) })
         };
-        let failed = |outcome| Probed { outcome, load: None };
+        let failed = |outcome| ProbeResult { outcome, load: None };
         match timeout(PROBE_TIMEOUT, probe).await {
             Ok(Ok(probed)) => probed,
             Ok(Err(outcome)) => failed(outcome),
@@ -455,7 +455,7 @@
 }
 
 impl tower::Service<CallAttempt<Arc<Call>>> for Subchannel {
-    type Response = Ended<Bytes>;
+    type Response = AttemptResult<Bytes>;
     type Error = std::convert::Infallible;
     type Future = BoxFuture<'static, Result<Self::Response, Self::Error>>;
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-pub use list::{Target, UnreadableEntry, Update, MAX_LIST_BYTES};
+pub use list::{ListUpdate, Target, UnreadableEntry, MAX_LIST_BYTES};
 
 /// A field that is missing or makes no sense.
 #[derive(Debug, Error)]
@@ -36,19 +36,19 @@
 /// What the dispatcher may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
-pub struct Resources {
+pub struct ResourceLimits {
     /// File descriptors.
     pub sockets: usize,
 }
 
-impl Resources {
+impl ResourceLimits {
     /// The fewest descriptors that a front can work with.
-    pub const LEAST: usize = 64;
+    pub const MIN_SOCKETS: usize = 64;
 }
 
-impl Default for Resources {
+impl Default for ResourceLimits {
     fn default() -> Self {
-        Resources { sockets: 1024 }
+        ResourceLimits { sockets: 1024 }
     }
 }
 
@@ -58,7 +58,7 @@
     /// Discovery at this address is asked for it.
     Discovery(SocketAddr),
     /// It is fixed.
-    Fixed(Arc<Update>),
+    Fixed(Arc<ListUpdate>),
 }
 
 impl fmt::Display for ListSource {
@@ -84,19 +84,19 @@
     /// The folder of what a restart must not forget.
     pub state: Option<PathBuf>,
     /// Where the list of log workers comes from.
-    pub source: ListSource,
+    pub list_source: ListSource,
     /// For random numbers.
     pub seed: u64,
     /// What it may use.
-    pub limits: Resources,
+    pub limits: ResourceLimits,
     /// The list as it last had it, for as long as discovery has not answered.
-    pub known: Option<Update>,
+    pub last_known_list: Option<ListUpdate>,
     /// The settings of the decisions.
     pub settings: Settings,
     /// The names that requests and reports use.
-    pub words: Vocabulary,
+    pub vocabulary: Vocabulary,
     /// How long the clients of each class wait at the most.
-    pub class_time: Vec<Duration>,
+    pub class_deadlines: Vec<Duration>,
     /// How long an idle connection to a log worker stays open there.
     pub conn_idle_ms: f64,
     /// How long a connection may take to come up.
@@ -113,7 +113,7 @@
     discovery: Option<String>,
     seed: Option<String>,
     #[serde(default)]
-    limits: Resources,
+    limits: ResourceLimits,
     known: Option<Value>,
     settings: Option<Value>,
 }
@@ -146,10 +146,11 @@
         let known = file.known.filter(|known| !known.is_null());
         let known = known.map(|k| read_known(&k, file.discovery.is_none()));
         let mut known = known.transpose()?;
-        let source = match (&file.discovery, known.take_if(|known| known.all && file.discovery.is_none())) {
-            (None, Some(list)) => ListSource::Fixed(Arc::new(list)),
-            _ => ListSource::Discovery(addr("discovery", file.discovery)?),
-        };
+        let source =
+            match (&file.discovery, known.take_if(|known| known.complete && file.discovery.is_none())) {
+                (None, Some(list)) => ListSource::Fixed(Arc::new(list)),
+                _ => ListSource::Discovery(addr("discovery", file.discovery)?),
+            };
         let millis = |field: &str| {
             let value = raw.pointer(&format!("/limits/{field}")).and_then(Value::as_f64);
             let value = value.filter(|ms| ms.is_finite() && (1.0..1e9).contains(ms));
@@ -165,8 +166,11 @@
             value.map(|ms| Duration::from_secs_f64(ms / 1000.0))
         });
         let class_time = class_time.collect::<Result<_, _>>()?;
-        if file.limits.sockets < Resources::LEAST {
-            return Err(ConfigError::new("limits.sockets", format!("fewer than {}", Resources::LEAST)));
+        if file.limits.sockets < ResourceLimits::MIN_SOCKETS {
+            return Err(ConfigError::new(
+                "limits.sockets",
+                format!("fewer than {}", ResourceLimits::MIN_SOCKETS),
+            ));
         }
         let listen = addr("listen", file.listen)?;
         let console = file.console.map(|text| addr("console", Some(text))).transpose()?;
@@ -179,14 +183,14 @@
             accept_fd: file.accept_fd,
             console,
             state: file.state,
-            source,
+            list_source: source,
             seed: u64::from_str_radix(&seed, 16)
                 .map_err(|_| ConfigError::new("seed", format!("{seed:?}")))?,
             limits: file.limits,
-            known,
+            last_known_list: known,
             settings,
-            words,
-            class_time,
+            vocabulary: words,
+            class_deadlines: class_time,
             conn_idle_ms: millis("conn_idle_ms")?,
             connect_timeout_ms: millis("connect_timeout_ms")?,
         })
@@ -195,9 +199,9 @@
 
 /// The list last known. Where discovery will tell a newer one, an entry that makes no sense is left out; a list that is
 /// fixed has to make sense as a whole.
-fn read_known(value: &Value, fixed: bool) -> Result<Update, ConfigError> {
-    Update::deserialize(value).or_else(|error| {
-        let by_entry = (!fixed).then(|| Update::read(value.to_string().as_bytes()).ok()).flatten();
+fn read_known(value: &Value, fixed: bool) -> Result<ListUpdate, ConfigError> {
+    ListUpdate::deserialize(value).or_else(|error| {
+        let by_entry = (!fixed).then(|| ListUpdate::read(value.to_string().as_bytes()).ok()).flatten();
         by_entry.ok_or_else(|| ConfigError::new("known", error))
     })
 }
--- a/crates/config/src/list.rs
+++ b/crates/config/src/list.rs
@@ -22,11 +22,12 @@
 
 /// What discovery says at once: the whole list, or what changed.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Update {
+pub struct ListUpdate {
     /// The version of the list.
     pub rev: u64,
     /// Whether it is the whole list.
-    pub all: bool,
+    #[serde(rename = "all")]
+    pub complete: bool,
     /// The entries.
     #[serde(deserialize_with = "bounded_entries")]
     pub targets: Vec<Target>,
@@ -37,10 +38,10 @@
 
 /// An entry of a list that makes no sense.
 #[derive(Clone, Debug, Error)]
-#[error("targets[{place}]: {found}")]
+#[error("targets[{index}]: {found}")]
 pub struct UnreadableEntry {
     /// Its place among the entries.
-    pub place: usize,
+    pub index: usize,
     /// The log worker that it names, if it does that much.
     pub worker: Option<Name>,
     /// What was found there.
@@ -49,9 +50,10 @@
 
 /// An object that is read entry by entry.
 #[derive(Deserialize)]
-struct UpdateByEntry {
+struct ListUpdateByEntry {
     rev: u64,
-    all: bool,
+    #[serde(rename = "all")]
+    complete: bool,
     targets: Entries,
 }
 
@@ -63,13 +65,13 @@
 }
 
 impl Entries {
-    fn push(&mut self, place: usize, entry: &RawValue) {
+    fn push(&mut self, index: usize, entry: &RawValue) {
         match serde_json::from_str(entry.get()) {
             Ok(target) => self.targets.push(target),
             Err(error) => {
                 let name = serde_json::from_str(entry.get()).ok();
                 let worker = name.map(|name: EntryName| name.uid.into());
-                self.unreadable.push(UnreadableEntry { place, worker, found: error.to_string() });
+                self.unreadable.push(UnreadableEntry { index, worker, found: error.to_string() });
             }
         }
     }
@@ -78,8 +80,8 @@
 impl<'de> Deserialize<'de> for Entries {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let mut entries = Entries::default();
-        let take = |place, entry: &'de RawValue| {
-            entries.push(place, entry);
+        let take = |index, entry: &'de RawValue| {
+            entries.push(index, entry);
             match entries.unreadable.len() > MAX_UNREADABLE {
                 true => Err(format!("over {MAX_UNREADABLE} entries that make no sense")),
                 false => Ok(()),
@@ -115,13 +117,13 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(mut self, mut entries: A) -> Result<(), A::Error> {
-        let mut place = 0;
+        let mut index = 0;
         while let Some(entry) = entries.next_element()? {
-            if place >= MAX_ENTRIES {
+            if index >= MAX_ENTRIES {
                 return Err(A::Error::custom(format!("found over {MAX_ENTRIES} entries")));
             }
-            (self.0)(place, entry).map_err(A::Error::custom)?;
-            place += 1;
+            (self.0)(index, entry).map_err(A::Error::custom)?;
+            index += 1;
         }
         Ok(())
     }
@@ -133,10 +135,10 @@
     uid: String,
 }
 
-impl Update {
+impl ListUpdate {
     /// What a list or change of this version holds, if nothing in it is unreadable.
-    pub fn new(rev: u64, all: bool, targets: Vec<Target>) -> Self {
-        Update { rev, all, targets, unreadable: Vec::new() }
+    pub fn new(rev: u64, complete: bool, targets: Vec<Target>) -> Self {
+        ListUpdate { rev, complete, targets, unreadable: Vec::new() }
     }
 
     /// Reads an object in discovery's form. An entry that makes no sense is left out and told of; the others stand.
@@ -151,9 +153,9 @@
     }
 
     fn read_by_entry(text: &str) -> Result<Self, serde_json::Error> {
-        let UpdateByEntry { rev, all, targets: Entries { targets, unreadable } } =
+        let ListUpdateByEntry { rev, complete, targets: Entries { targets, unreadable } } =
             serde_json::from_str(text)?;
-        Ok(Update { rev, all, targets, unreadable })
+        Ok(ListUpdate { rev, complete, targets, unreadable })
     }
 }
 
@@ -261,10 +263,10 @@
             entry("w-6", "active").replace("\"active\"", "7"),
         ];
         let all = [&[entry("w-1", "leaving")], &bad[..], &[entry("w-5", "active")]].concat();
-        let update = Update::read(text(&all).as_bytes()).expect("an update");
+        let update = ListUpdate::read(text(&all).as_bytes()).expect("an update");
         let read: Vec<&str> = update.targets.iter().map(|target| target.uid.as_ref()).collect();
         assert_eq!((update.rev, read), (3, vec!["w-1", "w-5"]));
-        let named = update.unreadable.iter().map(|entry| (entry.place, entry.worker.as_deref()));
+        let named = update.unreadable.iter().map(|entry| (entry.index, entry.worker.as_deref()));
         assert_eq!(
             named.collect::<Vec<_>>(),
             [(1, Some("w-2")), (2, Some("w-3")), (3, None), (4, None), (5, Some("w-6"))]
@@ -281,7 +283,7 @@
             r#"{"rev":1,"all":true,"targets":7}"#,
             "{\"rev\"",
         ] {
-            assert!(Update::read(bad.as_bytes()).is_err(), "{bad}");
+            assert!(ListUpdate::read(bad.as_bytes()).is_err(), "{bad}");
         }
     }
 
@@ -289,7 +291,7 @@
     fn a_list_holds_so_many_entries_and_of_them_so_many_that_make_no_sense() {
         let list = |count: usize, entry: &str| {
             let text = text(&vec![entry.to_owned(); count]);
-            Update::read(text.as_bytes()).map(|update| (update.targets.len(), update.unreadable.len()))
+            ListUpdate::read(text.as_bytes()).map(|update| (update.targets.len(), update.unreadable.len()))
         };
         let good = entry("w", "active");
         for count in [MAX_ENTRIES - 1, MAX_ENTRIES] {
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -15,9 +15,9 @@
             /// Each class's final answers, in the order of the settings.
             pub classes: Box<[ClassCounters]>,
             /// What is so now.
-            pub now: Gauges,
+            pub gauges: Gauges,
             /// Final answers of the decisions, in the order of [`EndReason::ALL`].
-            pub concluded: [Counter; EndReason::ALL.len()],
+            pub answers_by_reason: [Counter; EndReason::ALL.len()],
             $($(#[$doc])* pub $name: Counter,)*
         }
 
@@ -26,7 +26,7 @@
             pub fn pairs(&self) -> Vec<(&'static str, u64)> {
                 let answers = [("served", self.served()), ("refused", self.refused()), ("failed", self.failed())];
                 let reasons = EndReason::ALL.into_iter().map(|reason| {
-                    (reason.name(), self.concluded[reason.index()].get())
+                    (reason.name(), self.answers_by_reason[reason.index()].get())
                 });
                 let totals = [$((stringify!($name), self.$name.get()),)*];
                 answers.into_iter().chain(totals).chain(reasons).collect()
@@ -111,24 +111,24 @@
 #[derive(Debug, Default)]
 pub struct Gauges {
     /// Requests that are owed an answer.
-    pub open: Gauge,
+    pub open_requests: Gauge,
     /// Listed log workers.
-    pub known: Gauge,
+    pub known_workers: Gauge,
     /// Those of them that get nothing.
-    pub skipped: Gauge,
+    pub skipped_workers: Gauge,
 }
 
 impl Gauges {
     pub(crate) fn publish(&self, open: usize, census: Census) {
-        self.open.set(open);
-        self.known.set(census.known);
-        self.skipped.set(census.skipped);
+        self.open_requests.set(open);
+        self.known_workers.set(census.known);
+        self.skipped_workers.set(census.skipped);
     }
 }
 
 impl Counters {
     /// Counters for these classes, all at 0.
-    pub fn of<'a>(classes: impl Iterator<Item = &'a Name>) -> Self {
+    pub fn for_classes<'a>(classes: impl Iterator<Item = &'a Name>) -> Self {
         let class = |name: &Name| ClassCounters { name: name.clone(), ..ClassCounters::default() };
         Counters { classes: classes.map(class).collect(), ..Counters::default() }
     }
@@ -137,20 +137,20 @@
     pub fn answered<R>(&self, class: ClassId, answer: &Answer<R>) {
         let Some(class) = self.classes.get(class.0) else { return };
         match answer {
-            Answer::Served(_) => class.served.add(),
-            Answer::Refused { .. } => class.refused.add(),
-            Answer::Failed => class.failed.add(),
+            Answer::Served(_) => class.served.increment(),
+            Answer::Refused { .. } => class.refused.increment(),
+            Answer::Failed => class.failed.increment(),
         }
     }
 
     /// One more final answer of the decisions, for this reason.
     pub(crate) fn concluded(&self, reason: EndReason) {
-        self.concluded[reason.index()].add();
+        self.answers_by_reason[reason.index()].increment();
     }
 
     /// One more request that is refused before it is taken, for want of room: it never ran.
     pub(crate) fn overloaded<R>(&self, class: ClassId) -> Answer<R> {
-        self.overload.add();
+        self.overload.increment();
         let answer = Answer::Refused { retry_after: None };
         self.answered(class, &answer);
         answer
@@ -196,11 +196,11 @@
 
 impl Counter {
     /// One more.
-    pub fn add(&self) {
-        self.add_many(1);
+    pub fn increment(&self) {
+        self.add(1);
     }
     /// So many more.
-    pub fn add_many(&self, count: usize) {
+    pub fn add(&self, count: usize) {
         self.0.fetch_add(count as u64, Ordering::Relaxed);
     }
     /// The total.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -24,7 +24,7 @@
 
 /// What a front asks for: the part of a request that the decisions need, and what its transport carries.
 #[derive(Debug)]
-pub struct Ask<C> {
+pub struct Submission<C> {
     /// Its class.
     pub class: ClassId,
     /// Its tenant, where there are any.
@@ -32,7 +32,7 @@
     /// What it is about.
     pub key: Option<Name>,
     /// What a keyed request has in common with its client's other tries: a hash of its idempotency key.
-    pub tag: Option<u64>,
+    pub idempotency_hash: Option<u64>,
     /// Its work, where its client gave a guess.
     pub work: Option<rookspoke_decisions::Span>,
     /// Slots it takes.
@@ -79,29 +79,29 @@
     /// When to stop waiting.
     pub deadline: Time,
     /// When it must have gone out, or not at all.
-    pub by: Time,
+    pub send_by: Time,
     /// What the request carries.
     pub call: C,
 }
 
 /// How a call attempt ended.
 #[derive(Debug)]
-pub struct Ended<R> {
+pub struct AttemptResult<R> {
     /// What the log worker gave, or why it gave nothing.
     pub result: Result<R, Outcome>,
     /// The log worker's load, if it came along.
     pub load: Option<LoadReport>,
 }
 
-impl<R> From<Outcome> for Ended<R> {
+impl<R> From<Outcome> for AttemptResult<R> {
     fn from(outcome: Outcome) -> Self {
-        Ended { result: Err(outcome), load: None }
+        AttemptResult { result: Err(outcome), load: None }
     }
 }
 
 /// How a probe ended.
 #[derive(Debug)]
-pub struct Probed {
+pub struct ProbeResult {
     /// How.
     pub outcome: Outcome,
     /// The log worker's load, if it came along.
@@ -121,11 +121,11 @@
     fn send(
         &mut self,
         attempt: CallAttempt<Self::Call>,
-    ) -> impl Future<Output = Ended<Self::Reply>> + Send + 'static;
+    ) -> impl Future<Output = AttemptResult<Self::Reply>> + Send + 'static;
     /// Starts a probe.
-    fn probe(&mut self, worker: Name) -> impl Future<Output = Probed> + Send + 'static;
+    fn probe(&mut self, worker: Name) -> impl Future<Output = ProbeResult> + Send + 'static;
     /// Starts following the list of log workers, again if it is followed already.
-    fn watch(&mut self);
+    fn watch_list(&mut self);
     /// Asks for the whole list once.
     fn fetch_list(&mut self);
     /// Closes idle connections to a log worker.
@@ -135,7 +135,7 @@
 /// What the task hears.
 #[derive(Debug)]
 enum Input<C, R> {
-    Ask(RequestId, Ask<C>, oneshot::Sender<Answer<R>>),
+    Submit(RequestId, Submission<C>, oneshot::Sender<Answer<R>>),
     ClientGone(RequestId),
     Note(RequestId, usize, Note),
     List(ListScope, Arc<[Listing]>),
@@ -185,15 +185,15 @@
 
 impl<C: Send + 'static, R: Send + 'static> Handle<C, R> {
     /// Hands in a request and waits for its final answer. Dropping the future means the client left.
-    pub async fn ask(&self, ask: Ask<C>) -> Answer<R> {
+    pub async fn submit(&self, submission: Submission<C>) -> Answer<R> {
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (answer, answered) = oneshot::channel();
         let rooms = (self.queue.clone().try_reserve_owned(), self.queue.clone().try_reserve_owned());
         // The queue is full: nothing was taken and nothing ran, so this may be refused.
         let (Ok(room), Ok(gone)) = rooms else {
-            return self.counters.overloaded(ask.class);
+            return self.counters.overloaded(submission.class);
         };
-        room.send(Input::Ask(id, ask, answer));
+        room.send(Input::Submit(id, submission, answer));
         let mut guard = GoneGuard(Some((id, gone)));
         let answer = answered.await;
         guard.0 = None;
@@ -202,24 +202,24 @@
     }
 
     /// Passes on news of a call attempt.
-    pub async fn note(&self, request: RequestId, attempt: usize, note: Note) {
+    pub async fn report_progress(&self, request: RequestId, attempt: usize, note: Note) {
         let _ = self.queue.send(Input::Note(request, attempt, note)).await;
     }
 
     /// Passes on news of the list.
-    pub async fn list(&self, scope: ListScope, entries: Arc<[Listing]>) {
+    pub async fn update_list(&self, scope: ListScope, entries: Arc<[Listing]>) {
         let _ = self.queue.send(Input::List(scope, entries)).await;
     }
 
     /// Whether a log worker is listed, or taken out by hand.
-    pub async fn knows(&self, worker: &str) -> bool {
+    pub async fn is_known(&self, worker: &str) -> bool {
         let (answer, answered) = oneshot::channel();
         let _ = self.operators.send(Operator::Knows(worker.into(), answer)).await;
         answered.await.unwrap_or(false)
     }
 
     /// Says all that operators have taken out by hand, and waits until it holds.
-    pub async fn ban(&self, bans: Arc<[Ban]>) {
+    pub async fn set_bans(&self, bans: Arc<[Ban]>) {
         let (done, heard) = oneshot::channel();
         let _ = self.operators.send(Operator::Bans(bans, done)).await;
         // A core that has ended sends nothing any more.
--- a/crates/dispatch/src/task.rs
+++ b/crates/dispatch/src/task.rs
@@ -11,7 +11,8 @@
 
 use super::ledger::{Attempt, Ledger};
 use super::{
-    Answer, CallAttempt, Clock, Counters, Ended, Handle, Input, Operator, Probed, Transport, OPERATORS,
+    Answer, AttemptResult, CallAttempt, Clock, Counters, Handle, Input, Operator, ProbeResult, Transport,
+    OPERATORS,
 };
 use rookspoke_decisions::{
     Action, AttemptEnd, Dispatcher, EndReason, Event, ListScope, LoadReport, Name, Outcome, Request,
@@ -39,8 +40,8 @@
 }
 
 enum Done<R> {
-    Attempt(Ended<R>),
-    Probe(Probed),
+    Attempt(AttemptResult<R>),
+    Probe(ProbeResult),
 }
 
 /// A queue whose task has not started yet.
@@ -56,7 +57,7 @@
     pub fn new<'a>(limits: Limits, classes: impl Iterator<Item = &'a Name>) -> (Handle<C, R>, Self) {
         let (queue, inbox) = mpsc::channel(limits.queue);
         let (to_operators, operators) = mpsc::channel(OPERATORS);
-        let counters = Arc::new(Counters::of(classes));
+        let counters = Arc::new(Counters::for_classes(classes));
         let next_id = Arc::new(AtomicU64::new(1));
         let handle = Handle { queue, operators: to_operators, next_id, counters: counters.clone() };
         (handle, Core { inbox, operators, counters, limits })
@@ -162,7 +163,7 @@
             }
             if now >= self.publish {
                 self.publish = now + PUBLISH;
-                self.counters.now.publish(self.ledger.open_requests(), self.dispatcher.census());
+                self.counters.gauges.publish(self.ledger.open_requests(), self.dispatcher.census());
             }
         }
     }
@@ -188,31 +189,38 @@
 
     fn take(&mut self, input: Input<T::Call, T::Reply>) {
         match input {
-            Input::Ask(id, ask, answer) => {
+            Input::Submit(id, submission, answer) => {
                 if self.ledger.open_requests() >= self.limits.open_requests {
                     // Never seen by the decisions, so it never ran.
-                    let _ = answer.send(self.counters.overloaded(ask.class));
+                    let _ = answer.send(self.counters.overloaded(submission.class));
                     return;
                 }
-                self.counters.taken.add();
-                ask.span.record("number", tracing::field::display(id));
-                tracing::debug!(parent: &ask.span, "taken");
-                self.ledger.open(id, ask.class, ask.call, ask.deadline, ask.span, answer);
+                self.counters.taken.increment();
+                submission.span.record("number", tracing::field::display(id));
+                tracing::debug!(parent: &submission.span, "taken");
+                self.ledger.open(
+                    id,
+                    submission.class,
+                    submission.call,
+                    submission.deadline,
+                    submission.span,
+                    answer,
+                );
                 self.events.push_back(Event::Request(Request {
                     id,
-                    class: ask.class,
-                    tenant: ask.tenant,
-                    key: ask.key,
-                    tag: ask.tag,
-                    work: ask.work,
-                    slots: ask.slots,
-                    memory: ask.memory,
-                    deadline: ask.deadline,
+                    class: submission.class,
+                    tenant: submission.tenant,
+                    key: submission.key,
+                    tag: submission.idempotency_hash,
+                    work: submission.work,
+                    slots: submission.slots,
+                    memory: submission.memory,
+                    deadline: submission.deadline,
                 }));
             }
             Input::ClientGone(id) => {
                 if self.ledger.answer(id, None) {
-                    self.counters.client_gone.add();
+                    self.counters.client_gone.increment();
                     self.over.push(id);
                     self.events.push_back(Event::ClientGone(id));
                 }
@@ -226,9 +234,9 @@
             }
             Input::List(scope, entries) => {
                 match scope {
-                    ListScope::Changes | ListScope::Complete => self.counters.lists.add(),
+                    ListScope::Changes | ListScope::Complete => self.counters.lists.increment(),
                     ListScope::Failed | ListScope::Unusable | ListScope::Silent { .. } => {
-                        self.counters.lists_failed.add();
+                        self.counters.lists_failed.increment();
                     }
                     ListScope::Remembered | ListScope::Moved => {}
                 }
@@ -253,10 +261,10 @@
             (Job::Probe(worker, sent), done) => {
                 let probed = match done {
                     Ok((_, Done::Probe(probed))) => probed,
-                    _ => Probed { outcome: lost, load: None },
+                    _ => ProbeResult { outcome: lost, load: None },
                 };
                 let latency = self.clock.now() - sent;
-                let Probed { outcome, load } = probed;
+                let ProbeResult { outcome, load } = probed;
                 self.events.push_back(Event::Probed { worker, outcome, latency, load });
             }
         }
@@ -280,7 +288,7 @@
             // No other log worker can use it either, so this is the end.
             Err(Outcome::Unusable) => {
                 if self.ledger.answer(request, Some(Answer::Failed)) {
-                    self.counters.unusable.add();
+                    self.counters.unusable.increment();
                 }
                 Outcome::Unusable
             }
@@ -288,9 +296,9 @@
         };
         match outcome {
             Outcome::Served => {}
-            Outcome::Cancelled => self.counters.cancelled.add(),
-            Outcome::NotSent => self.counters.not_sent.add(),
-            _ => self.counters.attempts_failed.add(),
+            Outcome::Cancelled => self.counters.cancelled.increment(),
+            Outcome::NotSent => self.counters.not_sent.increment(),
+            _ => self.counters.attempts_failed.increment(),
         }
         let entry = self.ledger.get_mut(request);
         let closed = entry.as_ref().is_none_or(|e| e.answered());
@@ -349,13 +357,13 @@
                     self.over.push(request);
                 }
             }
-            Action::Subscribe => self.transport.watch(),
+            Action::Subscribe => self.transport.watch_list(),
             Action::FetchList => self.transport.fetch_list(),
             Action::SetTimer { at, token } => {
                 self.timers.insert((at, token));
             }
             Action::Probe(worker) => {
-                self.counters.probes.add();
+                self.counters.probes.increment();
                 let probe = self.transport.probe(worker.clone());
                 let abort = self.running.spawn(async { Done::Probe(probe.await) });
                 self.jobs.insert(abort.id(), Job::Probe(worker, now));
@@ -382,7 +390,7 @@
         // Moot, if it was answered since this batch's events were fixed.
         if closed || now >= entry.deadline || attempt >= self.max_attempts {
             entry.attempts.push(Attempt { sent: now, abort: None });
-            self.counters.not_sent.add();
+            self.counters.not_sent.increment();
             let (outcome, latency) = (Outcome::NotSent, Span(0));
             let end = AttemptEnd { request, attempt, outcome, latency, closed, load: None };
             return self.events.push_back(Event::Outcome(end));
@@ -393,11 +401,12 @@
             tracing::debug!(parent: &entry.span, attempt, %worker, "sent again");
         }
         let span = tracing::info_span!(parent: &entry.span, "attempt", attempt, %worker);
-        let future = self.transport.send(CallAttempt { request, attempt, worker, deadline, by, call });
+        let future =
+            self.transport.send(CallAttempt { request, attempt, worker, deadline, send_by: by, call });
         let abort = self.running.spawn(async { Done::Attempt(future.await) }.instrument(span));
         self.jobs.insert(abort.id(), Job::Attempt(request, attempt));
         entry.attempts.push(Attempt { sent: now, abort: Some(abort) });
-        self.counters.sent.add();
+        self.counters.sent.increment();
     }
 
     /// A promise of its own: whatever the decisions do, no request outlives its deadline unanswered. It is
@@ -409,7 +418,7 @@
                 let attempts = entry.attempts.len();
                 tracing::warn!(parent: &entry.span, attempts, "left unanswered past its deadline; it is failed");
             }
-            self.counters.overdue.add();
+            self.counters.overdue.increment();
             self.ledger.answer(id, Some(Answer::Failed));
             self.over.push(id);
             self.events.push_back(Event::ClientGone(id));
--- a/crates/faktory/src/hall.rs
+++ b/crates/faktory/src/hall.rs
@@ -11,7 +11,7 @@
 
 use super::codec::Job;
 use rookspoke_decisions::{Listing, LoadReport, Name, Outcome, Readiness, Time};
-use rookspoke_dispatch::Ended;
+use rookspoke_dispatch::AttemptResult;
 
 /// Consumers say nothing of where they are.
 pub const ZONE: &str = "consumers";
@@ -30,7 +30,7 @@
 /// How an offer ended.
 pub enum Claimed {
     /// The consumer fetched it; its outcome follows.
-    Fetched(oneshot::Receiver<Ended<()>>),
+    Fetched(oneshot::Receiver<AttemptResult<()>>),
     /// It never will.
     Away(Outcome),
 }
@@ -39,7 +39,7 @@
     ticket: Ticket,
     jid: String,
     wid: Name,
-    done: oneshot::Sender<Ended<()>>,
+    done: oneshot::Sender<AttemptResult<()>>,
 }
 
 #[derive(Default)]
@@ -182,7 +182,7 @@
         let places = inside.consumers.get(&wid).map_or(0.0, |c| c.connections as f64);
         // A consumer works on as many jobs as it has connections that fetch.
         let load = LoadReport { free_slots: Some((places - held).max(0.0)), ..LoadReport::default() };
-        done.send(Ended { result, load: Some(load) }).is_ok()
+        done.send(AttemptResult { result, load: Some(load) }).is_ok()
     }
 
     /// A sign of life; `quiet` says that it wants nothing new. Returns the entry to list, if that changes
--- a/crates/faktory/src/server.rs
+++ b/crates/faktory/src/server.rs
@@ -20,7 +20,7 @@
 use rookspoke_decisions::{
     Ban, ClassId, Effect, ListScope, Listing, Name, Outcome, Settings, SettingsError, Span,
 };
-use rookspoke_dispatch::{request_span, Answer, Ask, Clock, Core, Counters, Handle, Limits};
+use rookspoke_dispatch::{request_span, Answer, Clock, Core, Counters, Handle, Limits, Submission};
 use rookspoke_guard::{ConnectionLimit, Listener, Permit, Socket};
 
 /// A FETCH that finds nothing waits this long, as the specification has it.
@@ -95,13 +95,13 @@
 impl Operators {
     /// Whether a consumer of this name takes part, or is taken out by hand.
     pub async fn knows(&self, wid: &str) -> bool {
-        self.0.handle.knows(wid).await
+        self.0.handle.is_known(wid).await
     }
 
     /// Says all that is taken out by hand; nothing new is handed out there once this has ended.
     pub async fn ban(&self, bans: Arc<[Ban]>) {
         self.0.hall.ban(bans.iter().map(|ban| ban.worker.clone()).collect());
-        self.0.handle.ban(bans).await;
+        self.0.handle.set_bans(bans).await;
     }
 }
 
@@ -185,12 +185,12 @@
                 biased;
                 ended = connection.serve() => ended,
                 () = permit.close_requested() => {
-                    connection.shared.handle.counters().closed.add();
+                    connection.shared.handle.counters().closed.increment();
                     Ok(())
                 }
             };
             if let Err(error) = ended {
-                connection.shared.handle.counters().malformed.add();
+                connection.shared.handle.counters().malformed.increment();
                 tracing::debug!("a Faktory connection ended: {error}");
                 let _ = timeout(PATIENCE, connection.frames.send(Reply::Error(error.to_string()))).await;
             }
@@ -206,7 +206,7 @@
     async fn list(&self, changes: impl IntoIterator<Item = Listing>) {
         let entries: Arc<[Listing]> = changes.into_iter().collect();
         if !entries.is_empty() {
-            self.handle.list(ListScope::Changes, entries).await;
+            self.handle.update_list(ListScope::Changes, entries).await;
         }
     }
 
@@ -289,7 +289,7 @@
             Some(Err(error)) => return Err(error),
             None => return Ok(()),
             _ => {
-                self.shared.handle.counters().malformed.add();
+                self.shared.handle.counters().malformed.increment();
                 return self.reply(Reply::Error(format!("HELLO with v {VERSION} comes first"))).await;
             }
         }
@@ -314,7 +314,7 @@
                 None => return Ok(()),
                 Some(Err(error)) => return Err(error),
                 Some(Ok(Err(bad))) => {
-                    self.shared.handle.counters().malformed.add();
+                    self.shared.handle.counters().malformed.increment();
                     Reply::Error(bad.to_string())
                 }
                 Some(Ok(Ok(Command::End))) => return Ok(()),
@@ -364,7 +364,7 @@
     async fn push(&mut self, job: Job) -> Option<Reply> {
         let shared = self.shared.clone();
         let refuse = |why: String| {
-            shared.handle.counters().turned_down.add();
+            shared.handle.counters().turned_down.increment();
             Some(Reply::Error(why))
         };
         if *shared.phase.borrow() > Phase::Open {
@@ -385,11 +385,11 @@
         let mut record = Record { shared: shared.clone(), job: job.clone(), once, accepted: false };
         let time = job.custom.time_left_ms.map_or(shared.class_time[class], Duration::from_millis);
         let (accept, accepted) = oneshot::channel();
-        let ask = Ask {
+        let ask = Submission {
             class: ClassId(class),
             tenant: None,
             key: job.custom.key.as_deref().map(Name::from),
-            tag: None,
+            idempotency_hash: None,
             work: None,
             slots: job.custom.slots.unwrap_or(1.0),
             memory: 0.0,
@@ -398,7 +398,7 @@
             span: request_span(&job.jid, &job.jobtype),
         };
         let handle = shared.handle.clone();
-        let mut answer = Box::pin(async move { handle.ask(ask).await });
+        let mut answer = Box::pin(async move { handle.submit(ask).await });
         tokio::select! {
             // The answer goes first: with both there, the job is over.
             biased;
@@ -465,7 +465,7 @@
     fn end(&self, jid: &str, result: Result<(), Outcome>) -> Reply {
         if !self.shared.hall.end(jid, self.wid.as_ref(), result) {
             // The job's outcome is settled; the consumer need not hear of it again.
-            self.shared.handle.counters().late_reports.add();
+            self.shared.handle.counters().late_reports.increment();
         }
         Reply::ok()
     }
--- a/crates/faktory/src/transport.rs
+++ b/crates/faktory/src/transport.rs
@@ -10,7 +10,7 @@
 use super::codec::Job;
 use super::hall::{Claimed, Hall, Ticket};
 use rookspoke_decisions::{Name, Note, Outcome, Time};
-use rookspoke_dispatch::{CallAttempt, Clock, Ended, Handle, Probed, Transport};
+use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Handle, ProbeResult, Transport};
 
 /// A job on its way through the core.
 #[derive(Clone, Debug)]
@@ -54,7 +54,10 @@
     type Call = Call;
     type Reply = ();
 
-    fn send(&mut self, attempt: CallAttempt<Call>) -> impl Future<Output = Ended<()>> + Send + 'static {
+    fn send(
+        &mut self,
+        attempt: CallAttempt<Call>,
+    ) -> impl Future<Output = AttemptResult<()>> + Send + 'static {
         let (hall, handle, clock, claim) = (self.hall.clone(), self.handle.clone(), self.clock, self.claim);
         async move {
             let CallAttempt { request, attempt: number, worker, deadline, call, .. } = attempt;
@@ -69,8 +72,8 @@
                 // Nobody fetched it, so it never ran.
                 Ok(Err(_)) | Err(_) => return Outcome::TurnedAway.into(),
             };
-            handle.counters().written.add();
-            handle.note(request, number, Note::Started).await;
+            handle.counters().written.increment();
+            handle.report_progress(request, number, Note::Started).await;
             match timeout(reserve_for.min(clock.until(deadline)), outcome).await {
                 Ok(Ok(ended)) => ended,
                 // Its consumer had it and said nothing: it may have run.
@@ -80,12 +83,12 @@
         }
     }
 
-    fn probe(&mut self, _: Name) -> impl Future<Output = Probed> + Send + 'static {
-        std::future::ready(Probed { outcome: Outcome::NotSent, load: None })
+    fn probe(&mut self, _: Name) -> impl Future<Output = ProbeResult> + Send + 'static {
+        std::future::ready(ProbeResult { outcome: Outcome::NotSent, load: None })
     }
 
     // Consumers come and go by themselves: there is nothing to ask.
-    fn watch(&mut self) {}
+    fn watch_list(&mut self) {}
     fn fetch_list(&mut self) {}
     fn close_idle(&mut self, _: &Name) {}
 }
--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -81,7 +81,7 @@
             biased;
             done = connection.as_mut() => break done,
             () = permit.close_requested() => {
-                counters.closed.add();
+                counters.closed.increment();
                 return;
             }
             // Behind bytes that the library has not read it does not see this, and would go on with the job.
@@ -105,7 +105,7 @@
     drop(connection);
     let malformed = done.is_err_and(|error| error.is_parse());
     if malformed {
-        counters.malformed.add();
+        counters.malformed.increment();
     } else if answers.given.load(Ordering::Acquire) == 0 {
         return;
     }
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -153,7 +153,7 @@
             // Alone, it is always the one that works.
             None => watch::channel(true).1,
         };
-        let (settings, times) = (&config.settings, config.class_time.clone());
+        let (settings, times) = (&config.settings, config.class_deadlines.clone());
         let (server, core) = faktory::Server::new(faktory, settings, times, config.seed, active);
         self.counters.push(("faktory", server.counters()));
         self.faktory = Some(server.operators());
@@ -209,7 +209,7 @@
             tracing::warn!("changed, and heeded only after a restart: {}", words(&changes.at_restart));
         }
         if let (Some(serving), true) = (&self.serving, list) {
-            serving.channel().take_list_from(new.config.source.clone()).await;
+            serving.channel().take_list_from(new.config.list_source.clone()).await;
         }
         // Whether the platform counts by the old deadlines or by the new ones, a shutdown is over in time.
         let longest = longest_deadline(&new.config);
@@ -220,13 +220,13 @@
         });
         // What only a restart heeds is still as it was, and so is told again at the next reload.
         setup.resolved.take_live(&new.resolved);
-        setup.config.source = new.config.source;
+        setup.config.list_source = new.config.list_source;
     }
 }
 
 /// What clients of any class wait for at most.
 fn longest_deadline(config: &Config) -> Duration {
-    config.class_time.iter().copied().max().unwrap_or_default()
+    config.class_deadlines.iter().copied().max().unwrap_or_default()
 }
 
 fn words(keys: &[String]) -> String {
@@ -265,7 +265,7 @@
         daemon.start_faktory(&setup.config, faktory).await?;
     }
     daemon.start_http(&setup.config).await?;
-    tracing::info!("{}: the list comes from {}", setup.config.name, setup.config.source);
+    tracing::info!("{}: the list comes from {}", setup.config.name, setup.config.list_source);
     let _control = control.map(|control| daemon.start_control(&setup.config.name, control));
     // Apart from the loop below: nothing that it waits for holds a shutdown up.
     let stop = daemon.stop.clone();
--- a/crates/rookspoke/src/front.rs
+++ b/crates/rookspoke/src/front.rs
@@ -82,7 +82,7 @@
         }
         self.log_phase("the listener is closed, open connections are still served");
         let counters = self.serving.channel().counters();
-        (0..self.limit.census().open).for_each(|_| counters.shutdown_connections.add());
+        (0..self.limit.census().open).for_each(|_| counters.shutdown_connections.increment());
 
         let mut sweeps = std::pin::pin!(listener.shut());
         let mut phases = std::pin::pin!(self.end_connections(plan, begun, phase));
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -178,9 +178,9 @@
         let sum = |of: fn(&Counters) -> u64| self.counters.iter().map(|counters| of(counters)).sum::<u64>();
         for (name, total, kind) in [
             ("upstream_tries", sum(|c| c.written.get()), 'c'),
-            ("in_progress", sum(|c| c.now.open.get()), 'g'),
-            ("known_log_workers", sum(|c| c.now.known.get()), 'g'),
-            ("skipped_log_workers", sum(|c| c.now.skipped.get()), 'g'),
+            ("in_progress", sum(|c| c.gauges.open_requests.get()), 'g'),
+            ("known_log_workers", sum(|c| c.gauges.known_workers.get()), 'g'),
+            ("skipped_log_workers", sum(|c| c.gauges.skipped_workers.get()), 'g'),
         ] {
             let _ = writeln!(text, "proxy.{name}:{total}|{kind}");
         }
--- a/crates/rookspoke/src/setup.rs
+++ b/crates/rookspoke/src/setup.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use rookspoke_conf::{compile, read_bounded, Input, Origin, Override, Problems, Resolved};
-use rookspoke_config::{Config, ConfigError, Resources, MAX_LIST_BYTES};
+use rookspoke_config::{Config, ConfigError, ResourceLimits, MAX_LIST_BYTES};
 use rookspoke_faktory::FaktoryConfig;
 use serde::Deserialize;
 use serde_json::Value;
@@ -158,14 +158,14 @@
             }
             // Both fronts live on the same descriptors.
             let left = config.limits.sockets.checked_sub(faktory.max_connections);
-            let left = left.filter(|left| *left >= Resources::LEAST);
+            let left = left.filter(|left| *left >= ResourceLimits::MIN_SOCKETS);
             config.limits.sockets = left.ok_or_else(|| {
                 let text = format!("too many for the {} of `sockets`", config.limits.sockets);
                 bad(&resolved, ConfigError::new("faktory.max_connections", text))
             })?;
         }
         // Read for good now; it may be long.
-        if let Some(known) = resolved.tree.get_mut("known").filter(|_| config.known.is_some()) {
+        if let Some(known) = resolved.tree.get_mut("known").filter(|_| config.last_known_list.is_some()) {
             known.take();
         }
         Ok(Setup { resolved, config, faktory, control, log })
--- a/crates/vrrp/src/driver.rs
+++ b/crates/vrrp/src/driver.rs
@@ -109,7 +109,7 @@
 
     fn hear(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Advertisement> {
         let drop = |why: &dyn fmt::Display| {
-            self.counters.dropped.add();
+            self.counters.dropped.increment();
             tracing::debug!("vrrp: {from}: {why}");
         };
         let SocketAddr::V4(from) = from else { return None };
@@ -129,7 +129,7 @@
             drop(&"another virtual router");
             return None;
         }
-        self.counters.heard.add();
+        self.counters.heard.increment();
         self.machine.received(self.clock.now(), &heard, from)
     }
 
@@ -138,7 +138,7 @@
             let bytes = advertisement.encode();
             for peer in &self.peers {
                 match self.socket.send_to(&bytes, peer).await {
-                    Ok(_) => self.counters.sent.add(),
+                    Ok(_) => self.counters.sent.increment(),
                     Err(error) => tracing::debug!("vrrp: {peer}: {error}"),
                 }
             }
