--- a/crates/dispatch/src/clock.rs
+++ b/crates/dispatch/src/clock.rs
@@ -1,30 +1,31 @@
-//! The clock that the decisions see.
+//! The clock that timestamps the events of the decisions.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use rookspoke_decisions::Time;
 
-/// Unix time as it was at the start, advanced by the monotonic clock: it compares with the start times of
-/// log workers, and never jumps.
+/// A monotonic clock that counts from the Unix time at its start. Its readings can be compared with the
+/// start times that log workers report, and never jump when the system clock is stepped.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    unix: Time,
+    unix_at_start: Time,
 }
 
 impl Clock {
-    /// A clock that starts from the system's.
+    /// Reads the system clock once and starts counting from there.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: Time(micros(unix)) }
+        Clock { started: Instant::now(), unix_at_start: Time(micros(unix)) }
     }
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
-    /// The moment that the monotonic clock calls `instant`.
+    /// Converts a monotonic `instant`; one from before the start counts as the start.
     pub fn at(&self, instant: Instant) -> Time {
-        Time(self.unix.0.saturating_add(micros(instant.saturating_duration_since(self.started))))
+        let elapsed = instant.saturating_duration_since(self.started);
+        Time(self.unix_at_start.0.saturating_add(micros(elapsed)))
     }
     /// How long until `time`; zero when it has passed.
     pub fn until(&self, time: Time) -> Duration {
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher took in, sent and answered.
+//! Counters and gauges of a dispatcher: requests accepted, call attempts sent, answers given.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,20 +9,20 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Running totals since the start, which only grow, and what is so now.
+        /// Counters since the process started, and gauges of the current state.
         #[derive(Debug, Default)]
         pub struct Counters {
-            /// Each class's final answers, in the order of the settings.
+            /// Final answers by class, in the order of the settings.
             pub classes: Box<[ClassCounters]>,
-            /// What is so now.
+            /// The current state.
             pub gauges: Gauges,
-            /// Final answers of the decisions, in the order of [`EndReason::ALL`].
+            /// Answers that the decisions gave, by reason, in the order of [`EndReason::ALL`].
             pub answers_by_reason: [Counter; EndReason::ALL.len()],
             $($(#[$doc])* pub $name: Counter,)*
         }
 
         impl Counters {
-            /// Every total with its name, in a fixed order.
+            /// Every counter with its name, in a fixed order.
             pub fn pairs(&self) -> Vec<(&'static str, u64)> {
                 let answers = [("served", self.served()), ("refused", self.refused()), ("failed", self.failed())];
                 let reasons = EndReason::ALL.into_iter().map(|reason| {
@@ -34,10 +34,10 @@
         }
 
         impl fmt::Display for Counters {
-            /// `name=value`, parted by spaces.
+            /// Writes `name=value` pairs separated by spaces.
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                for (at, (name, value)) in self.pairs().iter().enumerate() {
-                    write!(f, "{}{name}={value}", if at > 0 { " " } else { "" })?;
+                for (index, (name, value)) in self.pairs().iter().enumerate() {
+                    write!(f, "{}{name}={value}", if index > 0 { " " } else { "" })?;
                 }
                 Ok(())
             }
@@ -46,75 +46,76 @@
 }
 
 counters! {
-    /// Requests taken: each is owed one final answer, or its client leaves.
+    /// Requests accepted; each gets one final answer unless its client leaves first.
     taken,
-    /// Requests turned down before they were taken, for what they say.
+    /// Requests rejected before admission because they are malformed.
     malformed,
-    /// Requests turned down before they were taken, for what the front knows.
+    /// Well-formed requests that the front rejected before admission, such as a duplicate job or any job on a backup.
     turned_down,
-    /// Client connections closed before their time: silent for too long, or to make room. Those that a shutdown cuts off are not among them.
+    /// Client connections closed early: idle for too long, or to make room for others. Connections that a shutdown
+    /// closes are not counted.
     closed,
-    /// Client connections that a graceful shutdown found open.
+    /// Client connections open when a graceful shutdown began.
     shutdown_connections,
-    /// Requests that were answered after a graceful shutdown had begun.
+    /// Requests answered after a graceful shutdown had begun.
     shutdown_answers,
-    /// Among the refused: those that were not taken, for want of room.
+    /// Refused requests that were not accepted because the queue or the table of open requests was full.
     overload,
-    /// Among the failed: requests that a log worker could not use.
+    /// Failed requests that a log worker rejected as unusable.
     unusable,
-    /// Among the failed: requests that nobody had answered by their deadline.
+    /// Failed requests that were still unanswered after their deadline.
     overdue,
     /// Clients that left before their answer.
     client_gone,
-    /// Call attempts that a transport was given.
+    /// Call attempts handed to a transport.
     sent,
-    /// Call attempts whose request was written to its last byte.
+    /// Call attempts whose request was written completely.
     written,
     /// Call attempts stopped before they were sent.
     not_sent,
-    /// Call attempts called off.
+    /// Call attempts cancelled.
     cancelled,
-    /// Call attempts that ended without being served, called off or stopped.
+    /// Call attempts that ended without success, except those that were cancelled or never sent.
     attempts_failed,
-    /// Reports of an attempt whose outcome was settled before.
+    /// Reports about an attempt whose outcome was already settled.
     late_reports,
     /// Probes sent.
     probes,
     /// Idle connections to log workers closed to make room for another.
     connections_displaced,
-    /// Connections to log workers that were not opened, since there was no room and none was idle.
+    /// Connections to log workers that were not opened: the limit was reached and none was idle.
     connections_without_room,
-    /// Resolver results taken.
+    /// Lists and list changes received from discovery.
     lists,
-    /// Calls to discovery that failed, and watches that broke.
+    /// Failed calls to discovery, including broken watches.
     lists_failed,
-    /// Among the failed: answers of discovery that came and could not be used.
+    /// Failed calls to discovery whose answer arrived but could not be used.
     lists_unusable,
-    /// Entries of lists that made no sense, and were left out.
+    /// List entries skipped because they could not be read.
     list_entries_unreadable,
 }
 
-/// A class's final answers.
+/// Final answers to the requests of one class.
 #[derive(Debug, Default)]
 pub struct ClassCounters {
-    /// The class.
+    /// Name of the class in the settings.
     pub name: Name,
-    /// Served.
+    /// Requests that a log worker served.
     pub served: Counter,
-    /// Refused, taken or not.
+    /// Requests refused, before or after they were accepted.
     pub refused: Counter,
-    /// Failed.
+    /// Requests that failed and may have run.
     pub failed: Counter,
 }
 
-/// What is so now, as the task that owns the decisions last said.
+/// The current state, as last published by the task that owns the decisions.
 #[derive(Debug, Default)]
 pub struct Gauges {
-    /// Requests that are owed an answer.
+    /// Requests without a final answer.
     pub open_requests: Gauge,
-    /// Listed log workers.
+    /// Log workers on the list.
     pub known_workers: Gauge,
-    /// Those of them that get nothing.
+    /// Listed log workers that currently get no requests.
     pub skipped_workers: Gauge,
 }
 
@@ -127,14 +128,14 @@
 }
 
 impl Counters {
-    /// Counters for these classes, all at 0.
+    /// Counters for `classes`, all at 0.
     pub fn for_classes<'a>(classes: impl Iterator<Item = &'a Name>) -> Self {
         let class = |name: &Name| ClassCounters { name: name.clone(), ..ClassCounters::default() };
         Counters { classes: classes.map(class).collect(), ..Counters::default() }
     }
 
-    /// One more final answer: the only place where they are counted.
-    pub fn answered<R>(&self, class: ClassId, answer: &Answer<R>) {
+    /// Counts a final answer. Final answers are counted nowhere else.
+    pub fn count_answer<R>(&self, class: ClassId, answer: &Answer<R>) {
         let Some(class) = self.classes.get(class.0) else { return };
         match answer {
             Answer::Served(_) => class.served.increment(),
@@ -143,40 +144,40 @@
         }
     }
 
-    /// One more final answer of the decisions, for this reason.
-    pub(crate) fn concluded(&self, reason: EndReason) {
+    /// Counts an answer that the decisions gave for `reason`.
+    pub(crate) fn count_reason(&self, reason: EndReason) {
         self.answers_by_reason[reason.index()].increment();
     }
 
-    /// One more request that is refused before it is taken, for want of room: it never ran.
-    pub(crate) fn overloaded<R>(&self, class: ClassId) -> Answer<R> {
+    /// Counts and returns the refusal of a request that is not accepted for lack of capacity, and so never ran.
+    pub(crate) fn refuse_for_overload<R>(&self, class: ClassId) -> Answer<R> {
         self.overload.increment();
         let answer = Answer::Refused { retry_after: None };
-        self.answered(class, &answer);
+        self.count_answer(class, &answer);
         answer
     }
 
-    fn sum(&self, of: impl Fn(&ClassCounters) -> &Counter) -> u64 {
-        self.classes.iter().map(|class| of(class).get()).sum()
+    fn sum(&self, counter: impl Fn(&ClassCounters) -> &Counter) -> u64 {
+        self.classes.iter().map(|class| counter(class).get()).sum()
     }
 
-    /// Requests served.
+    /// Requests served, over all classes.
     pub fn served(&self) -> u64 {
         self.sum(|class| &class.served)
     }
 
-    /// Requests refused, taken or not.
+    /// Requests refused, over all classes, before or after they were accepted.
     pub fn refused(&self) -> u64 {
         self.sum(|class| &class.refused)
     }
 
-    /// Requests failed.
+    /// Requests failed, over all classes.
     pub fn failed(&self) -> u64 {
         self.sum(|class| &class.failed)
     }
 }
 
-/// A figure that goes up and down.
+/// A value that goes up and down.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicU64);
 
@@ -184,26 +185,26 @@
     fn set(&self, value: usize) {
         self.0.store(value as u64, Ordering::Relaxed);
     }
-    /// The figure.
+    /// The value last published.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// One running total.
+/// A counter that only grows.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// One more.
+    /// Adds one.
     pub fn increment(&self) {
         self.add(1);
     }
-    /// So many more.
+    /// Adds `count`.
     pub fn add(&self, count: usize) {
         self.0.fetch_add(count as u64, Ordering::Relaxed);
     }
-    /// The total.
+    /// The total so far.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/dispatch/src/ledger.rs
+++ b/crates/dispatch/src/ledger.rs
@@ -1,4 +1,5 @@
-//! Which requests are open, their call attempts, and that each gets exactly one final answer.
+//! The ledger of open requests and their call attempts. It ensures that each request gets exactly one final
+//! answer.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 
 pub struct Attempt {
     pub sent: Time,
-    /// Calls the attempt off; gone once it has ended.
+    /// Cancels the attempt; `None` once it has ended.
     pub abort: Option<AbortHandle>,
 }
 
@@ -21,31 +22,34 @@
     class: ClassId,
     pub deadline: Time,
     pub attempts: Vec<Attempt>,
-    /// What logs say of it.
+    /// The parent span of all log lines about the request.
     pub span: tracing::Span,
-    answer: Option<oneshot::Sender<Answer<R>>>,
+    /// Where the final answer goes; `None` once the request has ended.
+    answer_sender: Option<oneshot::Sender<Answer<R>>>,
 }
 
 impl<C, R> Entry<C, R> {
-    pub fn answered(&self) -> bool {
-        self.answer.is_none()
+    /// Whether the request has ended, with an answer or because its client left.
+    pub fn is_answered(&self) -> bool {
+        self.answer_sender.is_none()
     }
 }
 
 pub struct Ledger<C, R> {
     entries: FxHashMap<RequestId, Entry<C, R>>,
+    /// The deadlines of unanswered requests.
     deadlines: BTreeSet<(Time, RequestId)>,
     open: usize,
     counters: Arc<Counters>,
 }
 
 impl<C, R> Ledger<C, R> {
-    /// An empty one, which counts the answers.
+    /// An empty ledger that counts final answers in `counters`.
     pub fn new(counters: Arc<Counters>) -> Self {
         Ledger { entries: FxHashMap::default(), deadlines: BTreeSet::new(), open: 0, counters }
     }
 
-    /// Requests that are still owed an answer.
+    /// The number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.open
     }
@@ -57,10 +61,10 @@
         call: C,
         deadline: Time,
         span: tracing::Span,
-        answer: oneshot::Sender<Answer<R>>,
+        answer_sender: oneshot::Sender<Answer<R>>,
     ) {
-        let answer = Some(answer);
-        self.entries.insert(id, Entry { call, class, deadline, attempts: Vec::new(), span, answer });
+        let answer_sender = Some(answer_sender);
+        self.entries.insert(id, Entry { call, class, deadline, attempts: Vec::new(), span, answer_sender });
         self.deadlines.insert((deadline, id));
         self.open += 1;
     }
@@ -69,35 +73,36 @@
         self.entries.get_mut(&id)
     }
 
-    /// Ends a request with its answer, or without one where the client has left. False when it had ended
-    /// before: nothing is said twice.
+    /// Ends a request with its answer, or with `None` if its client has left. Returns false, and does nothing,
+    /// if the request had already ended.
     pub fn answer(&mut self, id: RequestId, answer: Option<Answer<R>>) -> bool {
         let Some(entry) = self.entries.get_mut(&id) else { return false };
-        let Some(to) = entry.answer.take() else { return false };
+        let Some(sender) = entry.answer_sender.take() else { return false };
         self.deadlines.remove(&(entry.deadline, id));
         self.open -= 1;
         if let Some(answer) = answer {
-            self.counters.answered(entry.class, &answer);
-            // A client that left in this very moment is told of by its own guard.
-            let _ = to.send(answer);
+            self.counters.count_answer(entry.class, &answer);
+            // Fails if the client has just left; its `ClientGoneGuard` reports that.
+            let _ = sender.send(answer);
         }
         true
     }
 
-    /// Marks an attempt as ended; none if it had ended before or never was.
+    /// Marks an attempt as ended and returns when it was sent; `None` if it had already ended or does not exist.
     pub fn end_attempt(&mut self, id: RequestId, attempt: usize) -> Option<Time> {
         let attempt = self.entries.get_mut(&id)?.attempts.get_mut(attempt)?;
         attempt.abort.take().map(|_| attempt.sent)
     }
 
-    pub fn forget_if_done(&mut self, id: RequestId) {
-        let done = |e: &Entry<C, R>| e.answered() && e.attempts.iter().all(|a| a.abort.is_none());
-        if self.entries.get(&id).is_some_and(done) {
+    /// Removes a request that is answered and has no running attempt.
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        let finished = |e: &Entry<C, R>| e.is_answered() && e.attempts.iter().all(|a| a.abort.is_none());
+        if self.entries.get(&id).is_some_and(finished) {
             self.entries.remove(&id);
         }
     }
 
-    /// The first request whose deadline lies before `now`.
+    /// The unanswered request with the earliest deadline, if that lies before `now`.
     pub fn overdue(&self, now: Time) -> Option<RequestId> {
         self.deadlines.first().filter(|d| d.0 < now).map(|d| d.1)
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,5 +1,6 @@
-//! The core: one task owns a [`rookspoke_decisions::Dispatcher`], hears of everything through a bounded queue, and carries out
-//! what the decisions ask for. It knows no wire; a front supplies the [`Transport`].
+//! The dispatcher core. One task owns a [`rookspoke_decisions::Dispatcher`], receives every event through a
+//! bounded queue, and carries out the actions that the decisions return. The core does no network I/O itself: a
+//! front supplies the [`Transport`].
 
 mod clock;
 mod counters;
@@ -22,33 +23,34 @@
     Ban, ClassId, ListScope, Listing, LoadReport, Name, Note, Outcome, RequestId, TenantId, Time,
 };
 
-/// What a front asks for: the part of a request that the decisions need, and what its transport carries.
+/// A request that a front submits: what the decisions need to know of it, and the call that its transport sends.
 #[derive(Debug)]
 pub struct Submission<C> {
-    /// Its class.
+    /// Index of the class in the settings.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// The tenant, if the settings define tenants.
     pub tenant: Option<TenantId>,
-    /// What it is about.
+    /// The key that requests about the same subject share.
     pub key: Option<Name>,
-    /// What a keyed request has in common with its client's other tries: a hash of its idempotency key.
+    /// Hash of the idempotency key, which all tries of a keyed request share.
     pub idempotency_hash: Option<u64>,
-    /// Its work, where its client gave a guess.
+    /// The client's estimate of the work, if it gave one.
     pub work: Option<rookspoke_decisions::Span>,
-    /// Slots it takes.
+    /// Slots that the request occupies on a log worker.
     pub slots: f64,
-    /// Memory units it takes.
+    /// Memory units that the request occupies on a log worker.
     pub memory: f64,
-    /// When its client gives up.
+    /// When the client stops waiting.
     pub deadline: Time,
-    /// What a call attempt carries; the core hands it on unread.
+    /// Passed unread to the transport with each call attempt.
     pub call: C,
-    /// What the front knows of it, for logs: see [`request_span`].
+    /// Tracing span with the front's own fields, made by [`request_span`].
     pub span: Span,
 }
 
-/// The span of a request: the id that its client gave it, its class, and the core's own number for it, which
-/// comes once it is taken. Each call attempt has a span within it, with its own number and its log worker.
+/// Creates the tracing span of a request, with the id that its client gave it and its class. The field `number`
+/// is the core's own id and is filled in when the request is accepted. Each call attempt gets a child span with
+/// its number and its log worker.
 pub fn request_span(id: &str, class: &str) -> Span {
     tracing::info_span!("request", id, class, number = tracing::field::Empty)
 }
@@ -56,40 +58,40 @@
 /// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer<R> {
-    /// A log worker served it.
+    /// A log worker served the request; its reply.
     Served(R),
-    /// The unavailable status: it never ran, or running it again does no harm.
+    /// Status "unavailable": the request never ran, or running it again does no harm.
     Refused {
-        /// When to come back, where the decisions say.
+        /// How long the client should wait before it retries, if the decisions give a time.
         retry_after: Option<rookspoke_decisions::Span>,
     },
-    /// It failed, and may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// One call attempt, as a transport gets it.
+/// One call attempt, as passed to a transport.
 #[derive(Debug)]
 pub struct CallAttempt<C> {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: usize,
-    /// The log worker.
+    /// The log worker to send to.
     pub worker: Name,
-    /// When to stop waiting.
+    /// When to stop waiting for the reply.
     pub deadline: Time,
-    /// When it must have gone out, or not at all.
+    /// The attempt must not be sent after this time.
     pub send_by: Time,
-    /// What the request carries.
+    /// The call that the front submitted.
     pub call: C,
 }
 
-/// How a call attempt ended.
+/// The result of a call attempt.
 #[derive(Debug)]
 pub struct AttemptResult<R> {
-    /// What the log worker gave, or why it gave nothing.
+    /// The log worker's reply, or why there is none.
     pub result: Result<R, Outcome>,
-    /// The log worker's load, if it came along.
+    /// The load report that came with the reply, if any.
     pub load: Option<LoadReport>,
 }
 
@@ -99,63 +101,64 @@
     }
 }
 
-/// How a probe ended.
+/// The result of a probe.
 #[derive(Debug)]
 pub struct ProbeResult {
-    /// How.
+    /// How the probe ended.
     pub outcome: Outcome,
-    /// The log worker's load, if it came along.
+    /// The load report that came with the reply, if any.
     pub load: Option<LoadReport>,
 }
 
-/// What carries the decisions out. Its calls return at once; the futures do the work, and dropping one
-/// calls its attempt off.
+/// Carries out the actions of the decisions. The methods return at once; the returned futures do the work, and
+/// dropping one cancels its attempt.
 pub trait Transport: Send + 'static {
-    /// What a request carries to a log worker.
+    /// The call that a request sends to a log worker.
     type Call: Clone + Send + 'static;
-    /// What a log worker gives for it.
+    /// A log worker's reply to a call.
     type Reply: Send + 'static;
 
-    /// Starts a call attempt. The future checks again, when it comes to sending, that the log worker still
-    /// takes work, that the client is still there, and that the attempt is not too late.
+    /// Starts a call attempt. Immediately before sending, the future checks again that the log worker still
+    /// accepts work, that the client is still connected, and that the attempt is not too late.
     fn send(
         &mut self,
         attempt: CallAttempt<Self::Call>,
     ) -> impl Future<Output = AttemptResult<Self::Reply>> + Send + 'static;
-    /// Starts a probe.
+    /// Starts a probe of a log worker.
     fn probe(&mut self, worker: Name) -> impl Future<Output = ProbeResult> + Send + 'static;
-    /// Starts following the list of log workers, again if it is followed already.
+    /// Starts watching the list of log workers; an existing watch is started anew.
     fn watch_list(&mut self);
-    /// Asks for the whole list once.
+    /// Fetches the whole list once.
     fn fetch_list(&mut self);
-    /// Closes idle connections to a log worker.
+    /// Closes the idle connections to a log worker.
     fn close_idle(&mut self, worker: &Name);
 }
 
-/// What the task hears.
+/// A message to the core's task.
 #[derive(Debug)]
 enum Input<C, R> {
     Submit(RequestId, Submission<C>, oneshot::Sender<Answer<R>>),
     ClientGone(RequestId),
-    Note(RequestId, usize, Note),
+    Progress(RequestId, usize, Note),
     List(ListScope, Arc<[Listing]>),
 }
 
-/// What operators ask of the task. It has a queue of its own: no crowd of requests is before it.
+/// An operator's request to the core's task. These have a queue of their own, so that a burst of client
+/// requests does not delay them.
 #[derive(Debug)]
-enum Operator {
-    Knows(Name, oneshot::Sender<bool>),
-    Bans(Arc<[Ban]>, oneshot::Sender<()>),
+enum OperatorRequest {
+    IsKnown(Name, oneshot::Sender<bool>),
+    SetBans(Arc<[Ban]>, oneshot::Sender<()>),
 }
 
-/// Calls of operators that wait, at most.
-const OPERATORS: usize = 16;
+/// Length of the queue of operator requests.
+const OPERATOR_QUEUE: usize = 16;
 
-/// The way into a core's queue.
+/// Submits requests and events to a core.
 #[derive(Debug)]
 pub struct Handle<C, R> {
     queue: mpsc::Sender<Input<C, R>>,
-    operators: mpsc::Sender<Operator>,
+    operators: mpsc::Sender<OperatorRequest>,
     next_id: Arc<AtomicU64>,
     counters: Arc<Counters>,
 }
@@ -171,62 +174,62 @@
     }
 }
 
-/// Tells the core that the client is gone, unless its answer came first. The room in the queue for this is
-/// taken beforehand: a drop cannot wait for it.
-struct GoneGuard<C, R>(Option<(RequestId, OwnedPermit<Input<C, R>>)>);
+/// Notifies the core on drop that the client is gone, unless its answer came first. The queue slot for this
+/// message is reserved in advance, since `drop` cannot wait for one.
+struct ClientGoneGuard<C, R>(Option<(RequestId, OwnedPermit<Input<C, R>>)>);
 
-impl<C, R> Drop for GoneGuard<C, R> {
+impl<C, R> Drop for ClientGoneGuard<C, R> {
     fn drop(&mut self) {
-        if let Some((id, room)) = self.0.take() {
-            room.send(Input::ClientGone(id));
+        if let Some((id, permit)) = self.0.take() {
+            permit.send(Input::ClientGone(id));
         }
     }
 }
 
 impl<C: Send + 'static, R: Send + 'static> Handle<C, R> {
-    /// Hands in a request and waits for its final answer. Dropping the future means the client left.
+    /// Submits a request and waits for its final answer. Dropping the future tells the core that the client left.
     pub async fn submit(&self, submission: Submission<C>) -> Answer<R> {
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (answer, answered) = oneshot::channel();
-        let rooms = (self.queue.clone().try_reserve_owned(), self.queue.clone().try_reserve_owned());
-        // The queue is full: nothing was taken and nothing ran, so this may be refused.
-        let (Ok(room), Ok(gone)) = rooms else {
-            return self.counters.overloaded(submission.class);
+        let permits = (self.queue.clone().try_reserve_owned(), self.queue.clone().try_reserve_owned());
+        // The queue is full. Nothing was accepted and nothing ran, so the request may be refused.
+        let (Ok(submit_permit), Ok(gone_permit)) = permits else {
+            return self.counters.refuse_for_overload(submission.class);
         };
-        room.send(Input::Submit(id, submission, answer));
-        let mut guard = GoneGuard(Some((id, gone)));
+        submit_permit.send(Input::Submit(id, submission, answer));
+        let mut guard = ClientGoneGuard(Some((id, gone_permit)));
         let answer = answered.await;
         guard.0 = None;
-        // The core ended with the request in hand: nobody can tell whether it ran.
+        // The core ended before it answered, so it is unknown whether the request ran.
         answer.unwrap_or(Answer::Failed)
     }
 
-    /// Passes on news of a call attempt.
+    /// Reports the progress of a call attempt.
     pub async fn report_progress(&self, request: RequestId, attempt: usize, note: Note) {
-        let _ = self.queue.send(Input::Note(request, attempt, note)).await;
+        let _ = self.queue.send(Input::Progress(request, attempt, note)).await;
     }
 
-    /// Passes on news of the list.
+    /// Passes on entries of the list of log workers, or the state of its source.
     pub async fn update_list(&self, scope: ListScope, entries: Arc<[Listing]>) {
         let _ = self.queue.send(Input::List(scope, entries)).await;
     }
 
-    /// Whether a log worker is listed, or taken out by hand.
+    /// Whether a log worker is listed or banned.
     pub async fn is_known(&self, worker: &str) -> bool {
         let (answer, answered) = oneshot::channel();
-        let _ = self.operators.send(Operator::Knows(worker.into(), answer)).await;
+        let _ = self.operators.send(OperatorRequest::IsKnown(worker.into(), answer)).await;
         answered.await.unwrap_or(false)
     }
 
-    /// Says all that operators have taken out by hand, and waits until it holds.
+    /// Replaces the set of operator bans and waits until it is in effect.
     pub async fn set_bans(&self, bans: Arc<[Ban]>) {
-        let (done, heard) = oneshot::channel();
-        let _ = self.operators.send(Operator::Bans(bans, done)).await;
-        // A core that has ended sends nothing any more.
-        let _ = heard.await;
+        let (done, in_effect) = oneshot::channel();
+        let _ = self.operators.send(OperatorRequest::SetBans(bans, done)).await;
+        // Fails if the core has ended; it then sends no attempts that a ban would have to stop.
+        let _ = in_effect.await;
     }
 
-    /// The running totals.
+    /// The core's counters and gauges.
     pub fn counters(&self) -> &Arc<Counters> {
         &self.counters
     }
