--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher is told at its start, as typed values: the platform's JSON, or a tree of the same shape.
+//! The configuration of a dispatcher as typed values, read from the platform's JSON or from a tree of the same
+//! shape.
 
 mod list;
 
@@ -16,33 +17,33 @@
 
 pub use list::{ListUpdate, Target, UnreadableEntry, MAX_LIST_BYTES};
 
-/// A field that is missing or makes no sense.
+/// A configuration field that is missing or invalid.
 #[derive(Debug, Error)]
 #[error("{field}: {found}")]
 pub struct ConfigError {
-    /// The field, its parts parted by dots.
+    /// Path of the field, its parts separated by dots.
     pub field: String,
-    /// What was found there.
+    /// What is wrong with the field's value.
     pub found: String,
 }
 
 impl ConfigError {
-    /// An error at `field`.
+    /// An error about the value of `field`.
     pub fn new(field: impl Into<String>, found: impl ToString) -> Self {
         ConfigError { field: field.into(), found: found.to_string() }
     }
 }
 
-/// What the dispatcher may use.
+/// System resources that the dispatcher may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// File descriptors.
+    /// File descriptors for connections.
     pub sockets: usize,
 }
 
 impl ResourceLimits {
-    /// The fewest descriptors that a front can work with.
+    /// The smallest number of descriptors that a front can work with.
     pub const MIN_SOCKETS: usize = 64;
 }
 
@@ -55,9 +56,9 @@
 /// Where the list of log workers comes from.
 #[derive(Clone, Debug)]
 pub enum ListSource {
-    /// Discovery at this address is asked for it.
+    /// Fetched from discovery at this address.
     Discovery(SocketAddr),
-    /// It is fixed.
+    /// Given in the configuration and never changed.
     Fixed(Arc<ListUpdate>),
 }
 
@@ -65,7 +66,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ListSource::Discovery(address) => write!(f, "discovery at {address}"),
-            ListSource::Fixed(list) => write!(f, "a fixed list of {}", list.targets.len()),
+            ListSource::Fixed(list) => write!(f, "a fixed list of {} log workers", list.targets.len()),
         }
     }
 }
@@ -73,38 +74,40 @@
 /// The whole configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The dispatcher's name, for logs.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// An inherited descriptor that listens for clients instead.
+    /// An inherited listening descriptor that is used instead of `listen`.
     pub accept_fd: Option<i32>,
-    /// Where operators ask.
+    /// Address of the operators' console.
     pub console: Option<SocketAddr>,
-    /// The folder of what a restart must not forget.
+    /// Directory for state that must survive a restart.
     pub state: Option<PathBuf>,
     /// Where the list of log workers comes from.
     pub list_source: ListSource,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// What it may use.
+    /// System resources that the dispatcher may use.
     pub limits: ResourceLimits,
-    /// The list as it last had it, for as long as discovery has not answered.
+    /// The last known list of log workers, used until discovery answers.
     pub last_known_list: Option<ListUpdate>,
-    /// The settings of the decisions.
+    /// Settings of the decisions.
     pub settings: Settings,
-    /// The names that requests and reports use.
+    /// The names that requests and load reports use on the wire.
     pub vocabulary: Vocabulary,
-    /// How long the clients of each class wait at the most.
+    /// For each class, the longest time that its clients wait.
     pub class_deadlines: Vec<Duration>,
-    /// How long an idle connection to a log worker stays open there.
+    /// How long log workers keep an idle connection open, in milliseconds.
     pub conn_idle_ms: f64,
-    /// How long a connection may take to come up.
+    /// How long connecting to a log worker may take, in milliseconds.
     pub connect_timeout_ms: f64,
 }
 
+/// The platform's JSON with its fields not yet checked.
 #[derive(Deserialize)]
-struct Fields {
+#[serde(expecting = "an object with the fields of a configuration")]
+struct RawConfig {
     name: Option<String>,
     listen: Option<String>,
     accept_fd: Option<i32>,
@@ -119,86 +122,91 @@
 }
 
 impl Config {
-    /// Reads the text of a JSON configuration.
+    /// Parses a JSON configuration.
     ///
     /// # Errors
-    /// Names the field that is missing or makes no sense.
+    /// A field is missing or invalid; the error names it.
     pub fn read(text: &str) -> Result<Self, ConfigError> {
         Self::from_tree(&serde_json::from_str(text).map_err(|e| ConfigError::new("configuration", e))?)
     }
 
-    /// Reads a tree in the form of the platform's JSON. Fields that are not known are left alone.
+    /// Reads a tree in the form of the platform's JSON. Unknown fields are ignored.
     ///
     /// # Errors
-    /// Names the field that is missing or makes no sense.
+    /// A field is missing or invalid; the error names it.
     pub fn from_tree(tree: &Value) -> Result<Self, ConfigError> {
-        let file = Fields::deserialize(tree).map_err(|e| ConfigError::new("configuration", e))?;
+        let raw = RawConfig::deserialize(tree).map_err(|e| ConfigError::new("configuration", e))?;
         let missing = |field: &str| ConfigError::new(field, "missing");
-        let addr = |field: &str, text: Option<String>| {
+        let parse_address = |field: &str, text: Option<String>| {
             let text = text.ok_or_else(|| missing(field))?;
             text.parse::<SocketAddr>().map_err(|e| ConfigError::new(field, format!("{text:?}: {e}")))
         };
-        let seed = file.seed.ok_or_else(|| missing("seed"))?;
-        let raw = file.settings.ok_or_else(|| missing("settings"))?;
-        let pairs = flatten(&raw);
-        let (settings, words) = parse_settings(pairs.iter().map(String::as_str))
+        let seed = raw.seed.ok_or_else(|| missing("seed"))?;
+        let raw_settings = raw.settings.ok_or_else(|| missing("settings"))?;
+        let pairs = flatten(&raw_settings);
+        let (settings, vocabulary) = parse_settings(pairs.iter().map(String::as_str))
             .map_err(|e| ConfigError::new(format!("settings.{}", e.field), e.found))?;
-        let known = file.known.filter(|known| !known.is_null());
-        let known = known.map(|k| read_known(&k, file.discovery.is_none()));
-        let mut known = known.transpose()?;
-        let source =
-            match (&file.discovery, known.take_if(|known| known.complete && file.discovery.is_none())) {
-                (None, Some(list)) => ListSource::Fixed(Arc::new(list)),
-                _ => ListSource::Discovery(addr("discovery", file.discovery)?),
-            };
-        let millis = |field: &str| {
-            let value = raw.pointer(&format!("/limits/{field}")).and_then(Value::as_f64);
+        let known = raw.known.filter(|known| !known.is_null());
+        let last_known_list = known.map(|known| read_known(&known, raw.discovery.is_none()));
+        let mut last_known_list = last_known_list.transpose()?;
+        let list_source = match (
+            &raw.discovery,
+            last_known_list.take_if(|list| list.complete && raw.discovery.is_none()),
+        ) {
+            (None, Some(list)) => ListSource::Fixed(Arc::new(list)),
+            _ => ListSource::Discovery(parse_address("discovery", raw.discovery)?),
+        };
+        let limit_ms = |field: &str| {
+            let value = raw_settings.pointer(&format!("/limits/{field}")).and_then(Value::as_f64);
             let value = value.filter(|ms| ms.is_finite() && (1.0..1e9).contains(ms));
             value.ok_or_else(|| ConfigError::new(format!("settings.limits.{field}"), "not a time in ms"))
         };
-        let class_time = (0..settings.classes.len()).map(|at| {
-            let field = format!("classes/{at}/deadline_ms");
-            let value = raw.pointer(&format!("/{field}")).and_then(Value::as_f64);
+        let class_deadlines = (0..settings.classes.len()).map(|index| {
+            let field = format!("classes/{index}/deadline_ms");
+            let value = raw_settings.pointer(&format!("/{field}")).and_then(Value::as_f64);
             let value = value.filter(|ms| (0.0..1e9).contains(ms));
             let field = field.replace('/', ".");
             let value =
                 value.ok_or_else(|| ConfigError::new(format!("settings.{field}"), "not a time in ms"));
             value.map(|ms| Duration::from_secs_f64(ms / 1000.0))
         });
-        let class_time = class_time.collect::<Result<_, _>>()?;
-        if file.limits.sockets < ResourceLimits::MIN_SOCKETS {
+        let class_deadlines = class_deadlines.collect::<Result<_, _>>()?;
+        if raw.limits.sockets < ResourceLimits::MIN_SOCKETS {
             return Err(ConfigError::new(
                 "limits.sockets",
-                format!("fewer than {}", ResourceLimits::MIN_SOCKETS),
+                format!("found {}, expected at least {}", raw.limits.sockets, ResourceLimits::MIN_SOCKETS),
             ));
         }
-        let listen = addr("listen", file.listen)?;
-        let console = file.console.map(|text| addr("console", Some(text))).transpose()?;
+        let listen = parse_address("listen", raw.listen)?;
+        let console = raw.console.map(|text| parse_address("console", Some(text))).transpose()?;
         if console.is_some_and(|console| console == listen && console.port() != 0) {
-            return Err(ConfigError::new("console", "the address of `listen`, expected another"));
+            return Err(ConfigError::new(
+                "console",
+                "found the address of `listen`, expected a different one",
+            ));
         }
         Ok(Config {
-            name: file.name.unwrap_or_default(),
+            name: raw.name.unwrap_or_default(),
             listen,
-            accept_fd: file.accept_fd,
+            accept_fd: raw.accept_fd,
             console,
-            state: file.state,
-            list_source: source,
+            state: raw.state,
+            list_source,
             seed: u64::from_str_radix(&seed, 16)
                 .map_err(|_| ConfigError::new("seed", format!("{seed:?}")))?,
-            limits: file.limits,
-            last_known_list: known,
+            limits: raw.limits,
+            last_known_list,
             settings,
-            vocabulary: words,
-            class_deadlines: class_time,
-            conn_idle_ms: millis("conn_idle_ms")?,
-            connect_timeout_ms: millis("connect_timeout_ms")?,
+            vocabulary,
+            class_deadlines,
+            conn_idle_ms: limit_ms("conn_idle_ms")?,
+            connect_timeout_ms: limit_ms("connect_timeout_ms")?,
         })
     }
 }
 
-/// The list last known. Where discovery will tell a newer one, an entry that makes no sense is left out; a list that is
-/// fixed has to make sense as a whole.
+/// Reads the last known list. If discovery will replace it, unreadable entries are skipped; in a fixed list every
+/// entry must be readable.
 fn read_known(value: &Value, fixed: bool) -> Result<ListUpdate, ConfigError> {
     ListUpdate::deserialize(value).or_else(|error| {
         let by_entry = (!fixed).then(|| ListUpdate::read(value.to_string().as_bytes()).ok()).flatten();
@@ -206,7 +214,7 @@
     })
 }
 
-/// Nested settings as the simulator's pairs, so that one parser reads both.
+/// Flattens nested settings into the simulator's `path=value` pairs, so that one parser serves both.
 fn flatten(settings: &Value) -> Vec<String> {
     let mut pairs = Vec::new();
     push_pairs(&mut pairs, "", settings);
@@ -214,22 +222,26 @@
 }
 
 fn push_pairs(pairs: &mut Vec<String>, path: &str, value: &Value) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| push_pairs(pairs, &under(name), v)),
+        Value::Object(fields) => fields.iter().for_each(|(name, v)| push_pairs(pairs, &child_path(name), v)),
         Value::Array(items) if items.iter().any(|v| v.is_object()) => {
-            pairs.push(format!("{}={}", under("count"), items.len()));
-            items.iter().enumerate().for_each(|(at, v)| push_pairs(pairs, &under(&at.to_string()), v));
+            pairs.push(format!("{}={}", child_path("count"), items.len()));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(index, v)| push_pairs(pairs, &child_path(&index.to_string()), v));
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain).collect();
+            let items: Vec<String> = items.iter().map(scalar_text).collect();
             pairs.push(format!("{path}={}", items.join(",")));
         }
-        v => pairs.push(format!("{path}={}", plain(v))),
+        v => pairs.push(format!("{path}={}", scalar_text(v))),
     }
 }
 
-fn plain(value: &Value) -> String {
+/// A scalar as the simulator writes it: without the characters that separate its pairs and lists.
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
         Value::String(text) => text.replace([' ', ',', '\t'], "_"),
