--- a/crates/config/src/list.rs
+++ b/crates/config/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of log workers, in discovery's form.
+//! The list of log workers, as discovery serves it.
 
 use std::borrow::Cow;
 use std::cell::RefCell;
@@ -12,44 +12,46 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// The most that a list holds in any form, in bytes: room for twenty thousand log workers, six times the largest fleet.
+/// The maximum size of a list in bytes, in any form: enough for 20,000 log workers, six times the largest fleet.
 pub const MAX_LIST_BYTES: usize = 8 * 1024 * 1024;
 
-/// The most entries of a list, for which [`MAX_LIST_BYTES`] has room.
+/// The maximum number of entries of a list; they fit into [`MAX_LIST_BYTES`].
 const MAX_ENTRIES: usize = 20_000;
-/// The most entries that may make no sense in a list that is taken all the same; more than the largest fleet has.
-const MAX_UNREADABLE: usize = 4_096;
+/// A list with more unreadable entries than this is rejected as a whole. The largest fleet has fewer log workers.
+const MAX_UNREADABLE_ENTRIES: usize = 4_096;
 
-/// What discovery says at once: the whole list, or what changed.
+/// An update of the list from discovery: the whole list, or changes to it.
 #[derive(Clone, Debug, Deserialize)]
+#[serde(expecting = "an object with the fields of a list")]
 pub struct ListUpdate {
-    /// The version of the list.
+    /// Version of the list after the update.
     pub rev: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the whole list.
     #[serde(rename = "all")]
     pub complete: bool,
-    /// The entries.
-    #[serde(deserialize_with = "bounded_entries")]
+    /// The readable entries.
+    #[serde(deserialize_with = "deserialize_entries")]
     pub targets: Vec<Target>,
-    /// Entries that make no sense, and were left out.
+    /// The entries that could not be read and were skipped.
     #[serde(skip)]
     pub unreadable: Vec<UnreadableEntry>,
 }
 
-/// An entry of a list that makes no sense.
+/// An entry of a list that could not be read.
 #[derive(Clone, Debug, Error)]
 #[error("targets[{index}]: {found}")]
 pub struct UnreadableEntry {
-    /// Its place among the entries.
+    /// Index of the entry in `targets`.
     pub index: usize,
-    /// The log worker that it names, if it does that much.
+    /// Name of the log worker, if that much could be read.
     pub worker: Option<Name>,
-    /// What was found there.
+    /// What is wrong with the entry.
     pub found: String,
 }
 
-/// An object that is read entry by entry.
+/// The form of a [`ListUpdate`] that skips unreadable entries.
 #[derive(Deserialize)]
+#[serde(expecting = "an object with the fields of a list")]
 struct ListUpdateByEntry {
     rev: u64,
     #[serde(rename = "all")]
@@ -57,7 +59,7 @@
     targets: Entries,
 }
 
-/// Entries, and which of them make no sense.
+/// The entries of a list, readable and unreadable ones apart.
 #[derive(Default)]
 struct Entries {
     targets: Vec<Target>,
@@ -69,8 +71,8 @@
         match serde_json::from_str(entry.get()) {
             Ok(target) => self.targets.push(target),
             Err(error) => {
-                let name = serde_json::from_str(entry.get()).ok();
-                let worker = name.map(|name: EntryName| name.uid.into());
+                let named = serde_json::from_str(entry.get()).ok();
+                let worker = named.map(|named: NamedEntry| named.uid.into());
                 self.unreadable.push(UnreadableEntry { index, worker, found: error.to_string() });
             }
         }
@@ -78,34 +80,34 @@
 }
 
 impl<'de> Deserialize<'de> for Entries {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let mut entries = Entries::default();
-        let take = |index, entry: &'de RawValue| {
+        let on_entry = |index, entry: &'de RawValue| {
             entries.push(index, entry);
-            match entries.unreadable.len() > MAX_UNREADABLE {
-                true => Err(format!("over {MAX_UNREADABLE} entries that make no sense")),
+            match entries.unreadable.len() > MAX_UNREADABLE_ENTRIES {
+                true => Err(format!("found more than {MAX_UNREADABLE_ENTRIES} unreadable entries")),
                 false => Ok(()),
             }
         };
-        from.deserialize_seq(EachEntry(take, PhantomData))?;
+        deserializer.deserialize_seq(EntryVisitor(on_entry, PhantomData))?;
         Ok(entries)
     }
 }
 
-fn bounded_entries<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Target>, D::Error> {
+fn deserialize_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Target>, D::Error> {
     let mut targets = Vec::new();
-    let take = |_, target| {
+    let on_entry = |_, target| {
         targets.push(target);
         Ok(())
     };
-    from.deserialize_seq(EachEntry(take, PhantomData))?;
+    deserializer.deserialize_seq(EntryVisitor(on_entry, PhantomData))?;
     Ok(targets)
 }
 
-/// Hands each entry of a list on with its place, as long as there are no more than may be.
-struct EachEntry<T, F>(F, PhantomData<T>);
+/// Passes each entry of a list with its index to a function. More than [`MAX_ENTRIES`] are an error.
+struct EntryVisitor<T, F>(F, PhantomData<T>);
 
-impl<'de, T, F> Visitor<'de> for EachEntry<T, F>
+impl<'de, T, F> Visitor<'de> for EntryVisitor<T, F>
 where
     T: Deserialize<'de>,
     F: FnMut(usize, T) -> Result<(), String>,
@@ -120,7 +122,7 @@
         let mut index = 0;
         while let Some(entry) = entries.next_element()? {
             if index >= MAX_ENTRIES {
-                return Err(A::Error::custom(format!("found over {MAX_ENTRIES} entries")));
+                return Err(A::Error::custom(format!("found more than {MAX_ENTRIES} entries")));
             }
             (self.0)(index, entry).map_err(A::Error::custom)?;
             index += 1;
@@ -129,26 +131,26 @@
     }
 }
 
-/// The name in an entry that makes no sense otherwise.
+/// The name in an entry that is otherwise unreadable.
 #[derive(Deserialize)]
-struct EntryName {
+struct NamedEntry {
     uid: String,
 }
 
 impl ListUpdate {
-    /// What a list or change of this version holds, if nothing in it is unreadable.
+    /// An update without unreadable entries.
     pub fn new(rev: u64, complete: bool, targets: Vec<Target>) -> Self {
         ListUpdate { rev, complete, targets, unreadable: Vec::new() }
     }
 
-    /// Reads an object in discovery's form. An entry that makes no sense is left out and told of; the others stand.
+    /// Parses an update as discovery sends it. Unreadable entries are skipped and recorded in `unreadable`.
     ///
     /// # Errors
-    /// Says where the object itself makes no sense.
+    /// The object itself is invalid; the error names the position in `text`.
     pub fn read(text: &[u8]) -> Result<Self, serde_json::Error> {
-        // Text that is known to be UTF-8 is not looked at again, string by string.
+        // From text checked to be UTF-8, the parser need not check each string again.
         let Ok(text) = std::str::from_utf8(text) else { return serde_json::from_slice(text) };
-        // Not by the error's category: a state that is a number counts as an error of syntax.
+        // On any error, whatever its category: a `state` that is a number is reported as a syntax error.
         serde_json::from_str(text).or_else(|_| Self::read_by_entry(text))
     }
 
@@ -159,17 +161,17 @@
     }
 }
 
-/// One log worker, as discovery describes it.
+/// A log worker's entry in the list of discovery.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Target {
-    /// Its name, the same for every dispatcher.
-    #[serde(deserialize_with = "name")]
+    /// The log worker's name, the same for every dispatcher.
+    #[serde(deserialize_with = "deserialize_name")]
     pub uid: Name,
-    /// Where this dispatcher reaches it.
+    /// The address at which this dispatcher reaches the log worker.
     pub endpoint: SocketAddr,
-    #[serde(default = "no_name", deserialize_with = "shared_name")]
+    #[serde(default = "empty_name", deserialize_with = "deserialize_interned_name")]
     az: Name,
-    #[serde(default = "no_name", deserialize_with = "shared_name")]
+    #[serde(default = "empty_name", deserialize_with = "deserialize_interned_name")]
     model: Name,
     pod_group: Option<u64>,
     state: State,
@@ -177,37 +179,38 @@
     boot_ms: Option<f64>,
 }
 
-/// Names of zones and kinds that are remembered, so that each is held once and not once for every log worker.
-const SHARED_NAMES: usize = 64;
+/// The maximum number of interned names. Interning keeps one copy of a zone's or kind's name instead of one for
+/// each log worker.
+const MAX_INTERNED_NAMES: usize = 64;
 
 thread_local! {
-    static SHARED: RefCell<Vec<Name>> = const { RefCell::new(Vec::new()) };
+    static INTERNED: RefCell<Vec<Name>> = const { RefCell::new(Vec::new()) };
 }
 
-/// A string that is borrowed where its text needs no change.
+/// A string borrowed from the input unless it contains escapes.
 #[derive(Deserialize)]
-struct Text<'a>(#[serde(borrow)] Cow<'a, str>);
+struct BorrowedText<'a>(#[serde(borrow)] Cow<'a, str>);
 
-fn name<'de, D: Deserializer<'de>>(from: D) -> Result<Name, D::Error> {
-    Text::deserialize(from).map(|text| Name::from(text.0))
+fn deserialize_name<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Name, D::Error> {
+    BorrowedText::deserialize(deserializer).map(|text| Name::from(text.0))
 }
 
-fn no_name() -> Name {
-    shared("")
+fn empty_name() -> Name {
+    intern("")
 }
 
-fn shared_name<'de, D: Deserializer<'de>>(from: D) -> Result<Name, D::Error> {
-    Text::deserialize(from).map(|text| shared(&text.0))
+fn deserialize_interned_name<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Name, D::Error> {
+    BorrowedText::deserialize(deserializer).map(|text| intern(&text.0))
 }
 
-/// The one name of this text, as far as it is remembered.
-fn shared(text: &str) -> Name {
-    SHARED.with_borrow_mut(|names| {
+/// The interned name of `text`, or a new name once [`MAX_INTERNED_NAMES`] are held.
+fn intern(text: &str) -> Name {
+    INTERNED.with_borrow_mut(|names| {
         if let Some(name) = names.iter().find(|name| ***name == *text) {
             return name.clone();
         }
         let name = Name::from(text);
-        if names.len() < SHARED_NAMES {
+        if names.len() < MAX_INTERNED_NAMES {
             names.push(name.clone());
         }
         name
@@ -223,7 +226,7 @@
 }
 
 impl Target {
-    /// The entry as the decisions know it.
+    /// Converts the entry to the form that the decisions use.
     pub fn listing(&self) -> Listing {
         Listing {
             worker: self.uid.clone(),
@@ -254,7 +257,7 @@
     }
 
     #[test]
-    fn entries_that_make_no_sense_are_left_out_and_named() {
+    fn unreadable_entries_are_skipped_and_recorded() {
         let bad = [
             entry("w-2", "resting"),
             entry("w-3", "active").replace("127.0.0.1:80", "nowhere"),
@@ -276,7 +279,7 @@
     }
 
     #[test]
-    fn objects_that_make_no_sense_are_errors() {
+    fn invalid_objects_are_errors() {
         for bad in [
             "{}",
             r#"{"rev":"x","all":true,"targets":[]}"#,
@@ -288,7 +291,7 @@
     }
 
     #[test]
-    fn a_list_holds_so_many_entries_and_of_them_so_many_that_make_no_sense() {
+    fn the_number_of_entries_and_of_unreadable_ones_is_limited() {
         let list = |count: usize, entry: &str| {
             let text = text(&vec![entry.to_owned(); count]);
             ListUpdate::read(text.as_bytes()).map(|update| (update.targets.len(), update.unreadable.len()))
@@ -298,10 +301,10 @@
             assert_eq!(list(count, &good).expect("a list"), (count, 0));
         }
         assert!(list(MAX_ENTRIES + 1, &good).is_err());
-        for count in [MAX_UNREADABLE - 1, MAX_UNREADABLE] {
+        for count in [MAX_UNREADABLE_ENTRIES - 1, MAX_UNREADABLE_ENTRIES] {
             assert_eq!(list(count, "7").expect("a list"), (0, count));
         }
-        let error = list(MAX_UNREADABLE + 1, "7").expect_err("no list").to_string();
-        assert!(error.starts_with("over 4096 entries that make no sense"), "{error}");
+        let error = list(MAX_UNREADABLE_ENTRIES + 1, "7").expect_err("no list").to_string();
+        assert!(error.starts_with("found more than 4096 unreadable entries"), "{error}");
     }
 }
