--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -36,7 +36,7 @@
 
 /// System resources that the dispatcher may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(default)]
+#[serde(default, expecting = "an object with the limits of system resources")]
 pub struct ResourceLimits {
     /// File descriptors for connections.
     pub sockets: usize,
@@ -66,7 +66,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ListSource::Discovery(address) => write!(f, "discovery at {address}"),
-            ListSource::Fixed(list) => write!(f, "a fixed list of {} log workers", list.targets.len()),
+            ListSource::Fixed(list) => write!(f, "a fixed list (log workers: {})", list.targets.len()),
         }
     }
 }
