--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -82,7 +82,7 @@
             biased;
             result = connection.as_mut() => break result,
             () = permit.close_requested() => {
-                counters.closed.add();
+                counters.closed.increment();
                 return;
             }
             // Hyper does not notice a close that lies behind unread bytes, and would continue the job.
@@ -106,7 +106,7 @@
     drop(connection);
     let malformed = result.is_err_and(|error| error.is_parse());
     if malformed {
-        counters.malformed.add();
+        counters.malformed.increment();
     } else if responses.count.load(Ordering::Acquire) == 0 {
         return;
     }
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -160,7 +160,7 @@
             // Without VRRP, this process is always the active one.
             None => watch::channel(true).1,
         };
-        let (settings, times) = (&config.settings, config.class_time.clone());
+        let (settings, times) = (&config.settings, config.class_deadlines.clone());
         let (server, core) = faktory::Server::new(faktory, settings, times, config.seed, active);
         self.counters.push(("faktory", server.counters()));
         self.faktory = Some(server.operators());
@@ -224,7 +224,7 @@
             );
         }
         if let (Some(server_state), true) = (&self.server_state, list_changed) {
-            server_state.channel().take_list_from(new.config.source.clone()).await;
+            server_state.channel().take_list_from(new.config.list_source.clone()).await;
         }
         // The platform may compute the time of SIGKILL from the old deadlines or from the new ones; with the shorter
         // of both a shutdown ends in time in either case.
@@ -236,13 +236,13 @@
         });
         // Settings that need a restart keep their old values here, so the next reload reports them again.
         setup.resolved.take_live(&new.resolved);
-        setup.config.source = new.config.source;
+        setup.config.list_source = new.config.list_source;
     }
 }
 
 /// The longest deadline of all classes.
 fn longest_deadline(config: &Config) -> Duration {
-    config.class_time.iter().copied().max().unwrap_or_default()
+    config.class_deadlines.iter().copied().max().unwrap_or_default()
 }
 
 fn comma_separated(keys: &[String]) -> String {
@@ -281,7 +281,7 @@
         daemon.start_faktory(&setup.config, faktory).await?;
     }
     daemon.start_http(&setup.config).await?;
-    tracing::info!("{}: source of the list of log workers: {}", setup.config.name, setup.config.source);
+    tracing::info!("{}: source of the list of log workers: {}", setup.config.name, setup.config.list_source);
     let _control = control.map(|control| daemon.start_control(&setup.config.name, control));
     // In a task of its own, so that nothing the loop below awaits can delay a shutdown.
     let stop = daemon.stop.clone();
--- a/crates/rookspoke/src/front.rs
+++ b/crates/rookspoke/src/front.rs
@@ -82,7 +82,7 @@
         }
         self.log_phase("the listener is closed; open connections are still served");
         let counters = self.state.channel().counters();
-        (0..self.limit.counts().open).for_each(|_| counters.shutdown_connections.add());
+        (0..self.limit.counts().open).for_each(|_| counters.shutdown_connections.increment());
 
         let mut sweeps = std::pin::pin!(listener.close_and_sweep());
         let mut phases = std::pin::pin!(self.end_connections(plan, shutdown_start, phase));
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -185,9 +185,9 @@
             |value: fn(&Counters) -> u64| self.counters.iter().map(|counters| value(counters)).sum::<u64>();
         for (name, total, kind) in [
             ("upstream_tries", sum(|counters| counters.written.get()), 'c'),
-            ("in_progress", sum(|counters| counters.now.open.get()), 'g'),
-            ("known_log_workers", sum(|counters| counters.now.known.get()), 'g'),
-            ("skipped_log_workers", sum(|counters| counters.now.skipped.get()), 'g'),
+            ("in_progress", sum(|counters| counters.gauges.open_requests.get()), 'g'),
+            ("known_log_workers", sum(|counters| counters.gauges.known_workers.get()), 'g'),
+            ("skipped_log_workers", sum(|counters| counters.gauges.skipped_workers.get()), 'g'),
         ] {
             let _ = writeln!(text, "proxy.{name}:{total}|{kind}");
         }
--- a/crates/rookspoke/src/setup.rs
+++ b/crates/rookspoke/src/setup.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use rookspoke_conf::{compile, read_bounded, Input, Origin, Override, Problems, Resolved};
-use rookspoke_config::{Config, ConfigError, Resources, MAX_LIST_BYTES};
+use rookspoke_config::{Config, ConfigError, ResourceLimits, MAX_LIST_BYTES};
 use rookspoke_faktory::FaktoryConfig;
 use serde::Deserialize;
 use serde_json::Value;
@@ -161,19 +161,19 @@
             }
             // Both fronts share one budget of file descriptors.
             let remaining = config.limits.sockets.checked_sub(faktory.max_connections);
-            let remaining = remaining.filter(|remaining| *remaining >= Resources::LEAST);
+            let remaining = remaining.filter(|remaining| *remaining >= ResourceLimits::MIN_SOCKETS);
             config.limits.sockets = remaining.ok_or_else(|| {
                 let text = format!(
                     "found {}, expected at least {} of the {} descriptors of `sockets` to remain for the HTTP front",
                     faktory.max_connections,
-                    Resources::LEAST,
+                    ResourceLimits::MIN_SOCKETS,
                     config.limits.sockets
                 );
                 problem_at(&resolved, ConfigError::new("faktory.max_connections", text))
             })?;
         }
         // The list is in `config` now; the copy in the tree is dropped, since it can be large.
-        if let Some(known) = resolved.tree.get_mut("known").filter(|_| config.known.is_some()) {
+        if let Some(known) = resolved.tree.get_mut("known").filter(|_| config.last_known_list.is_some()) {
             known.take();
         }
         Ok(Setup { resolved, config, faktory, control, log })
