--- a/crates/rookspoke/src/share.rs
+++ b/crates/rookspoke/src/share.rs
@@ -63,8 +63,11 @@
         if shared != self.shared {
             self.shared = shared;
             tracing::info!(
-                "{} process of this dispatcher is running",
-                if shared { "another" } else { "no other" }
+                "{}",
+                match shared {
+                    true => "another process of this dispatcher is running",
+                    false => "no other process of this dispatcher is running",
+                }
             );
             self.limit.resize(match shared {
                 true => shared_client_limit(self.sockets),
