--- a/crates/rookspoke/tests/commands.rs
+++ b/crates/rookspoke/tests/commands.rs
@@ -42,14 +42,14 @@
     // Valid in itself, with one part that only a restart heeds.
     daemon.replace_site(&site(&[&two], "name another\n"));
     daemon.signal("HUP");
-    let line = daemon.wait_log("heeded only after a restart");
+    let line = daemon.wait_log("settings in effect only after a restart");
     assert!(line.ends_with("restart: name"), "{line}");
     daemon.wait_counters("http", &["lists=2"]);
     assert_eq!(ask(http, &post("log-lookup", "0000000000000002", 5000, "")).text(), "from two");
     // One that makes no sense changes nothing, and says where.
     daemon.replace_site("listen 127.0.0.1:0\nclass {\n");
     daemon.signal("HUP");
-    let line = daemon.wait_log("stays as it is");
+    let line = daemon.wait_log("new configuration rejected");
     assert!(line.contains("site.conf:2:1: "), "{line}");
     assert_eq!(ask(http, &post("log-lookup", "0000000000000003", 5000, "")).text(), "from two");
     assert_eq!(one.count(), 1);
@@ -189,7 +189,11 @@
     let first = says(daemon.folder());
     let second = run(daemon.folder(), &["serve", "--config", "site.conf"]);
     assert_eq!(second.status.code(), Some(1));
-    assert!(text(&second.stderr).contains("another daemon is live there"), "{}", text(&second.stderr));
+    assert!(
+        text(&second.stderr).contains("the control socket is in use by another daemon"),
+        "{}",
+        text(&second.stderr)
+    );
     assert_eq!(says(daemon.folder()), first, "the first still answers");
     // One that is no socket is somebody's file.
     let other = Folder::new();
@@ -290,7 +294,7 @@
     daemon.wait_log("http counters at exit");
     let log = daemon.log();
     let written = log.iter().filter(|line| line.contains("an answer is unreadable")).count();
-    let told = log.iter().filter(|line| line.contains("lines of one place were left out"));
+    let told = log.iter().filter(|line| line.contains("repeated log lines of one call site were suppressed"));
     let count = |line: &String| line.split("count=").nth(1)?.split(' ').next()?.parse::<usize>().ok();
     let left_out: usize = told.filter_map(count).sum();
     assert!(left_out > 0, "{written} were written");
