--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -78,7 +78,8 @@
         }
         let (job, late_worth) = (job.clone(), class.late_worth);
         let to = self.list_age.is_valid(self.now).then(|| self.choose_worker(&job, out)).flatten();
-        let probability = to.and_then(|to| self.fleet.get(to)).map(|w| self.late_probability(w, &job));
+        let probability =
+            to.and_then(|to| self.fleet.get(to)).map(|worker| self.late_probability(worker, &job));
         match to {
             // A job that would start too late is refused: served late it is worth nothing and delays others.
             Some(_)
@@ -88,12 +89,10 @@
                 self.pressure += (1.0 - self.pressure) * PRESSURE_GAIN;
                 self.answer(id, EndReason::LikelyLate, out)
             }
-            Some(worker)
-                if self.awaits_probe(worker, job.attempts.last().map_or(job.arrived, |a| a.sent)) =>
-            {
+            Some(to) if self.awaits_probe(to, job.attempts.last().map_or(job.arrived, |a| a.sent)) => {
                 self.requests.schedule(id, Some(last.min(self.now + RECHECK_INTERVAL)));
             }
-            Some(worker) => self.send(id, worker, out),
+            Some(to) => self.send(id, to, out),
             None if job.over_share => self.answer(id, EndReason::TenantOverShare, out),
             None if self.fleet.all_banned() => self.answer(id, EndReason::AllBanned, out),
             None => self.requests.schedule(id, Some(last.min(self.now + RECHECK_INTERVAL))),
@@ -140,8 +139,8 @@
 
     /// The probability that a job would start too late on a worker. Jobs that the worker holds beyond its slots run
     /// first.
-    pub(crate) fn late_probability(&self, w: &Worker, job: &Job) -> f64 {
-        let (slots, held) = (self.usable_slots(w).max(1.0), self.occupied_slots(w));
+    pub(crate) fn late_probability(&self, worker: &Worker, job: &Job) -> f64 {
+        let (slots, held) = (self.usable_slots(worker).max(1.0), self.occupied_slots(worker));
         // The head of a queue waits until all the slots that it needs are free.
         let extra = (job.slots - 1.0).max(0.0);
         let slack = (self.latest_start(job) - self.now).secs() / self.mean_run_secs().max(1e-3);
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -57,15 +57,16 @@
                     self.next
                 }
             };
-            let Some(w) = self.by_id.get_mut(&id) else { continue };
-            if entry.readiness == Readiness::InService && w.listed_start != entry.started {
-                w.listed_start = entry.started;
-                w.restart(entry.started, now);
+            let Some(worker) = self.by_id.get_mut(&id) else { continue };
+            if entry.readiness == Readiness::InService && worker.listed_start != entry.started {
+                worker.listed_start = entry.started;
+                worker.restart(entry.started, now);
             }
-            w.cell = entry.cell.or(w.cell);
-            let (reweighted, hash, keys) = (w.weight != entry.weight, w.name_hash, w.partitions());
-            w.weight = entry.weight;
-            if reweighted && w.in_service {
+            worker.cell = entry.cell.or(worker.cell);
+            let (reweighted, hash, keys) =
+                (worker.weight != entry.weight, worker.name_hash, worker.partitions());
+            worker.weight = entry.weight;
+            if reweighted && worker.in_service {
                 for key in keys {
                     self.partitions.entry(key).or_default().set_weight(hash, id, entry.weight);
                 }
@@ -85,8 +86,10 @@
         for (id, since) in
             returned.filter_map(|(name, since)| Some((self.find(name)?, *since))).collect::<Vec<_>>()
         {
-            if let Some(w) = self.by_id.get_mut(&id).filter(|w| w.listed_start.is_none_or(|at| at < since)) {
-                w.restart(Some(now), now);
+            if let Some(worker) =
+                self.by_id.get_mut(&id).filter(|worker| worker.listed_start.is_none_or(|at| at < since))
+            {
+                worker.restart(Some(now), now);
             }
             changed.extend(self.update_in_service(id));
         }
@@ -97,19 +100,21 @@
     }
     /// Whether a worker is listed or manually ejected.
     pub fn knows(&self, name: &str) -> bool {
-        let listed =
-            self.find(name).and_then(|id| self.get(id)).is_some_and(|w| w.readiness != Readiness::Gone);
+        let listed = self
+            .find(name)
+            .and_then(|id| self.get(id))
+            .is_some_and(|worker| worker.readiness != Readiness::Gone);
         listed || self.banned.contains_key(name)
     }
     /// Whether no worker is in service only because operators have ejected those that the list has in service.
     pub fn all_banned(&self) -> bool {
-        let in_service = || self.by_id.values().any(|w| w.readiness == Readiness::InService);
+        let in_service = || self.by_id.values().any(|worker| worker.readiness == Readiness::InService);
         self.in_service.is_empty() && !self.banned.is_empty() && in_service()
     }
     /// Counts the listed workers, and those of them that are sent nothing now.
     pub fn worker_counts(&self, now: Time) -> WorkerCounts {
-        let listed = || self.by_id.values().filter(|w| w.readiness != Readiness::Gone);
-        let skipped = listed().filter(|w| !w.in_service || now < w.ejected_until).count();
+        let listed = || self.by_id.values().filter(|worker| worker.readiness != Readiness::Gone);
+        let skipped = listed().filter(|worker| !worker.in_service || now < worker.ejected_until).count();
         WorkerCounts { known: listed().count(), skipped }
     }
     #[must_use = "changed workers have to be passed to `reorder`"]
@@ -121,11 +126,11 @@
     /// is dropped.
     #[must_use = "changed workers have to be passed to `reorder`"]
     fn update_in_service(&mut self, id: WorkerId) -> Option<WorkerId> {
-        let w = self.by_id.get_mut(&id)?;
-        let in_service = w.readiness == Readiness::InService && !self.banned.contains_key(&w.name);
-        let changed = std::mem::replace(&mut w.in_service, in_service) != in_service;
+        let worker = self.by_id.get_mut(&id)?;
+        let in_service = worker.readiness == Readiness::InService && !self.banned.contains_key(&worker.name);
+        let changed = std::mem::replace(&mut worker.in_service, in_service) != in_service;
         if changed {
-            let (candidate, keys) = (w.candidate(id), w.partitions());
+            let (candidate, keys) = (worker.candidate(id), worker.partitions());
             for key in keys {
                 let parts = self.partitions.entry(key).or_default();
                 match in_service {
@@ -140,8 +145,8 @@
     /// Restores the order of `in_service` after these workers have entered or left service.
     fn reorder(&mut self, changed: &[WorkerId]) {
         let by_id = &self.by_id;
-        let name = |id: &WorkerId| by_id.get(id).map(|w| &w.name);
-        let in_service = |id: &WorkerId| by_id.get(id).is_some_and(|w| w.in_service);
+        let name = |id: &WorkerId| by_id.get(id).map(|worker| &worker.name);
+        let in_service = |id: &WorkerId| by_id.get(id).is_some_and(|worker| worker.in_service);
         if !changed.iter().all(in_service) {
             self.in_service.retain(in_service);
         }
@@ -193,12 +198,13 @@
     ) -> Vec<Name> {
         let mut names = Vec::new();
         for id in workers {
-            let stale = |w: &&mut Worker| {
-                w.in_service && !w.probe_pending && w.reported_at.is_none_or(|at| at < since)
+            let stale = |worker: &&mut Worker| {
+                worker.in_service && !worker.probe_pending && worker.reported_at.is_none_or(|at| at < since)
             };
-            if let Some(w) = self.by_id.get_mut(id).filter(|w| names.len() < limit && stale(w)) {
-                w.probe_pending = true;
-                names.push(w.name.clone());
+            if let Some(worker) = self.by_id.get_mut(id).filter(|worker| names.len() < limit && stale(worker))
+            {
+                worker.probe_pending = true;
+                names.push(worker.name.clone());
             }
         }
         names
@@ -212,13 +218,11 @@
     }
     /// Drops a worker that is not listed and has neither pending attempts nor a pending probe.
     pub fn remove_if_idle(&mut self, id: WorkerId) {
-        if self
-            .by_id
-            .get(&id)
-            .is_some_and(|w| w.readiness == Readiness::Gone && w.own_jobs == 0 && !w.probe_pending)
-        {
-            if let Some(w) = self.by_id.remove(&id) {
-                self.by_name.remove(&w.name);
+        if self.by_id.get(&id).is_some_and(|worker| {
+            worker.readiness == Readiness::Gone && worker.own_jobs == 0 && !worker.probe_pending
+        }) {
+            if let Some(worker) = self.by_id.remove(&id) {
+                self.by_name.remove(&worker.name);
             }
         }
     }
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -45,19 +45,19 @@
     ) {
         let now = self.now;
         // A job that has just started: its other attempts that have not started are cancelled.
-        let Some((worker, sent)) = self.requests.on_update(id, attempt, update, now) else { return };
+        let Some((worker_id, sent)) = self.requests.on_update(id, attempt, update, now) else { return };
         self.cancel_attempts(id, false, out);
         self.advance(id, out);
         let waited_runs = ((now - sent).secs() - QUEUED_AFTER.secs()) / self.mean_run_secs();
-        let Some(w) = self.fleet.get_mut(worker) else { return };
-        w.on_started(sent);
+        let Some(worker) = self.fleet.get_mut(worker_id) else { return };
+        worker.on_started(sent);
         if waited_runs > 0.0 {
             // The wait of an own job is the newest information on a worker's queue. It is averaged, because a single
             // long wait does not prove a queue: the machine may be slow.
-            w.other_slots.get_or_insert(self.mean_fill * w.learned_slots.unwrap_or(DEFAULT_SLOTS));
-            let held = w.learned_slots.unwrap_or(DEFAULT_SLOTS) * (1.0 + waited_runs)
-                - w.smoothed_own_slots(now, OWN_SLOTS_DECAY);
-            w.blend_other_slots(held, REPORT_GAIN, now);
+            worker.other_slots.get_or_insert(self.mean_fill * worker.learned_slots.unwrap_or(DEFAULT_SLOTS));
+            let held = worker.learned_slots.unwrap_or(DEFAULT_SLOTS) * (1.0 + waited_runs)
+                - worker.smoothed_own_slots(now, OWN_SLOTS_DECAY);
+            worker.blend_other_slots(held, REPORT_GAIN, now);
         }
     }
 
@@ -71,13 +71,13 @@
         };
         attempt.state =
             if end.outcome.proves_no_run() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
-        let (worker, run_time, sent) =
+        let (worker_id, run_time, sent) =
             (attempt.worker, attempt.started.map_or(end.latency, |at| now - at), attempt.sent);
-        self.on_report(Some(worker), end.load);
-        if let Some(w) = self.fleet.get_mut(worker) {
-            w.on_ended(now, sent, slots, OWN_SLOTS_DECAY);
+        self.on_report(Some(worker_id), end.load);
+        if let Some(worker) = self.fleet.get_mut(worker_id) {
+            worker.on_ended(now, sent, slots, OWN_SLOTS_DECAY);
             if let (Some(key), true) = (key, end.outcome.proves_no_run()) {
-                w.count_key(key, -1.0, now, KEY_DECAY, MIN_KEY_COUNT);
+                worker.count_key(key, -1.0, now, KEY_DECAY, MIN_KEY_COUNT);
             }
         }
         if end.outcome == Outcome::Served {
@@ -90,8 +90,8 @@
                 entry.demand.add(now, KEY_DECAY, run_time.secs() * slots);
             }
         }
-        self.update_health(worker, end.outcome);
-        self.fleet.remove_if_idle(worker);
+        self.update_health(worker_id, end.outcome);
+        self.fleet.remove_if_idle(worker_id);
         if end.closed {
             self.close(id, out);
         }
@@ -101,20 +101,25 @@
 
     /// Updates a worker's health by the outcome of an attempt or probe. A worker that fails is ejected for a while,
     /// as otherwise fast errors and dead connections would make it look idle.
-    pub(crate) fn update_health(&mut self, worker: WorkerId, outcome: Outcome) {
-        let (now, Some(w)) = (self.now, self.fleet.get_mut(worker)) else { return };
+    pub(crate) fn update_health(&mut self, worker_id: WorkerId, outcome: Outcome) {
+        let (now, Some(worker)) = (self.now, self.fleet.get_mut(worker_id)) else { return };
         let matches_outcome = |of| f64::from(u8::from(outcome == of));
-        w.count_outcomes(now, ERROR_DECAY, matches_outcome(Outcome::Error), matches_outcome(Outcome::Served));
+        worker.count_outcomes(
+            now,
+            ERROR_DECAY,
+            matches_outcome(Outcome::Error),
+            matches_outcome(Outcome::Served),
+        );
         match outcome {
-            Outcome::Served => w.consecutive_failures = 0,
-            Outcome::TurnedAway => w.full_until = now + FULL_AFTER_REJECTION,
+            Outcome::Served => worker.consecutive_failures = 0,
+            Outcome::TurnedAway => worker.full_until = now + FULL_AFTER_REJECTION,
             Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection | Outcome::Unusable => return,
             _ => {
-                let failures = f64::from(w.consecutive_failures)
-                    .max(w.error_count(now, ERROR_DECAY) - 1.0)
+                let failures = f64::from(worker.consecutive_failures)
+                    .max(worker.error_count(now, ERROR_DECAY) - 1.0)
                     .round() as u32;
-                w.ejected_until = now + Span(BASE_EJECTION.0 << failures.min(MAX_EJECTION_DOUBLINGS));
-                w.consecutive_failures += 1;
+                worker.ejected_until = now + Span(BASE_EJECTION.0 << failures.min(MAX_EJECTION_DOUBLINGS));
+                worker.consecutive_failures += 1;
             }
         }
         if let Outcome::Served | Outcome::TurnedAway = outcome {
@@ -122,19 +127,21 @@
         }
     }
 
-    pub(crate) fn on_report(&mut self, worker: Option<WorkerId>, load: Option<LoadReport>) {
+    pub(crate) fn on_report(&mut self, worker_id: Option<WorkerId>, load: Option<LoadReport>) {
         let (now, shared) = (self.now, self.is_shared_fleet());
-        let (Some(w), Some(load)) = (worker.and_then(|id| self.fleet.get_mut(id)), load) else { return };
-        let covered = w.reported_at.map_or(OWN_SLOTS_DECAY, |at| (now - at).min(OWN_SLOTS_DECAY)).secs();
+        let (Some(worker), Some(load)) = (worker_id.and_then(|id| self.fleet.get_mut(id)), load) else {
+            return;
+        };
+        let covered = worker.reported_at.map_or(OWN_SLOTS_DECAY, |at| (now - at).min(OWN_SLOTS_DECAY)).secs();
         let [errors, served] =
             [load.errors_per_s, load.served_per_s].map(|rate| rate.unwrap_or(0.0) * covered);
-        w.count_outcomes(now, ERROR_DECAY, errors, served);
-        let Some(held) = w.learn_from_report(load, HIDDEN_QUEUE_RATIO, DEFAULT_SLOTS) else { return };
-        let other_slots = held - w.smoothed_own_slots(now, OWN_SLOTS_DECAY);
+        worker.count_outcomes(now, ERROR_DECAY, errors, served);
+        let Some(held) = worker.learn_from_report(load, HIDDEN_QUEUE_RATIO, DEFAULT_SLOTS) else { return };
+        let other_slots = held - worker.smoothed_own_slots(now, OWN_SLOTS_DECAY);
         // A stale value is replaced, not averaged: what has decayed since then is no longer a mean but a wrong value.
-        let stale = shared && w.reported_at.is_none_or(|at| now - at > STALE_AFTER);
-        w.blend_other_slots(other_slots, if stale { 1.0 } else { REPORT_GAIN }, now);
-        w.reported_at = Some(now);
-        self.mean_fill += (held / w.learned_slots.unwrap_or(DEFAULT_SLOTS) - self.mean_fill) * FILL_GAIN;
+        let stale = shared && worker.reported_at.is_none_or(|at| now - at > STALE_AFTER);
+        worker.blend_other_slots(other_slots, if stale { 1.0 } else { REPORT_GAIN }, now);
+        worker.reported_at = Some(now);
+        self.mean_fill += (held / worker.learned_slots.unwrap_or(DEFAULT_SLOTS) - self.mean_fill) * FILL_GAIN;
     }
 }
--- a/crates/decisions/src/placement.rs
+++ b/crates/decisions/src/placement.rs
@@ -74,26 +74,30 @@
         let shared = self.is_shared_fleet();
         let primaries = if shared { self.primary_count(&entry, job).min(entry.same_zone.len()) } else { 1 };
         let offset = if shared { self.rng.random::<u32>() as usize } else { 0 };
-        let risky = |w: &Worker| w.error_ratio(self.now, ERROR_DECAY) > MAX_ERROR_RATIO;
+        let risky = |worker: &Worker| worker.error_ratio(self.now, ERROR_DECAY) > MAX_ERROR_RATIO;
         let once = self.settings.classes[job.class.0].effect == Effect::Unsafe;
         let avoid_risky =
             once && !self.fleet.in_service.iter().filter_map(|id| self.fleet.get(*id)).all(risky);
-        let healthy = |w: &Worker| self.now >= w.ejected_until && w.fits(job) && !(avoid_risky && risky(w));
+        let healthy = |worker: &Worker| {
+            self.now >= worker.ejected_until && worker.fits(job) && !(avoid_risky && risky(worker))
+        };
         let eligible = |id: &WorkerId| {
             !job.tried(*id) && self.fleet.get(*id).is_some_and(healthy) && self.may_send(job, *id)
         };
         // Judged by the key's demand over all dispatchers: the small fraction of one dispatcher would never fill a
         // worker.
-        let available =
-            |id: &WorkerId| self.fleet.get(*id).is_some_and(|w| self.is_available(w, job, slots_per_worker));
+        let available = |id: &WorkerId| {
+            self.fleet.get(*id).is_some_and(|worker| self.is_available(worker, job, slots_per_worker))
+        };
         let assigned = entry.workers.iter().copied();
         let mut best = self.least_loaded(assigned.filter(|id| eligible(id) && available(id)));
         if best.is_none() {
             // A worker that is Busy and where the key is not a major one leaves the entry.
-            let state = |id: &WorkerId| self.fleet.get(*id).map(|w| self.worker_state(w, job.slots, 0.0));
+            let state =
+                |id: &WorkerId| self.fleet.get(*id).map(|worker| self.worker_state(worker, job.slots, 0.0));
             entry.workers.retain(|id| available(id) || state(id) != Some(State::Busy));
             let available =
-                |id: &WorkerId| self.fleet.get(*id).is_some_and(|w| self.is_available(w, job, 0.0));
+                |id: &WorkerId| self.fleet.get(*id).is_some_and(|worker| self.is_available(worker, job, 0.0));
             let scan = |entry: &TableEntry, order: &[WorkerId]| {
                 let unassigned = order.iter().copied().filter(|id| !entry.workers.contains(id));
                 let candidates = unassigned.filter(|id| eligible(id) && available(id));
@@ -127,7 +131,7 @@
             });
         }
         // If the job would start too late there, another worker that starts it in time is worth the fetch.
-        let late = |id: WorkerId| self.fleet.get(id).map_or(1.0, |w| self.late_probability(w, job));
+        let late = |id: WorkerId| self.fleet.get(id).map_or(1.0, |worker| self.late_probability(worker, job));
         let likely_late = best.is_none_or(|id| late(id) > MAX_LATE_PROBABILITY);
         if likely_late {
             self.update_cross_zone_order(&mut entry, key, kind, all_zones);
@@ -179,7 +183,7 @@
         let by_order = order.filter(|id| entry.workers.contains(id));
         let needed = by_order.enumerate().take_while(|(index, id)| {
             let before = remaining;
-            remaining -= self.fleet.get(*id).map_or(0.0, |w| T_BUSY * self.usable_slots(w));
+            remaining -= self.fleet.get(*id).map_or(0.0, |worker| T_BUSY * self.usable_slots(worker));
             *index == 0 || before > 0.0
         });
         entry.workers = needed.map(|(_, id)| id).collect();
@@ -220,42 +224,45 @@
         let run_time = self.run_times[job.class.0].secs();
         let slots_needed = self.dispatchers_per_key() * run_time * job.slots / KEY_DECAY.secs();
         let first = entry.same_zone.first().and_then(|id| self.fleet.get(*id));
-        let first_slots = first.map_or(DEFAULT_SLOTS, |w| self.usable_slots(w));
+        let first_slots = first.map_or(DEFAULT_SLOTS, |worker| self.usable_slots(worker));
         1 + (2.0 * slots_needed / (T_BUSY * first_slots).max(1.0)) as usize
     }
 
     /// Number of workers beyond the assigned ones that a scan covers. It shrinks with the pressure: each further
     /// worker is likely to fetch the key's data, and scattered keys overload the shared store.
     fn scan_width(&self, order: &[WorkerId], pressure: f64) -> usize {
-        let slots = order.first().and_then(|id| self.fleet.get(*id)).map_or(1.0, |w| self.usable_slots(w));
+        let slots =
+            order.first().and_then(|id| self.fleet.get(*id)).map_or(1.0, |worker| self.usable_slots(worker));
         let least = (MIN_SCAN_SLOTS / slots.max(1.0)).round().max(1.0) as usize;
         ((ORDER_LEN as f64 * (1.0 - pressure / FULL_PRESSURE)) as usize).max(least).min(order.len())
     }
 
     fn least_loaded(&self, workers: impl Iterator<Item = WorkerId>) -> Option<WorkerId> {
-        let load = |w: &Worker| (self.occupied_slots(w) / self.usable_slots(w) / LOAD_STEP).floor();
+        let load =
+            |worker: &Worker| (self.occupied_slots(worker) / self.usable_slots(worker) / LOAD_STEP).floor();
         let loads = workers.filter_map(|id| Some((id, load(self.fleet.get(id)?))));
         loads.min_by(|a, b| a.1.total_cmp(&b.1)).map(|best| best.0)
     }
 
     /// The paper's `available`: a Free worker takes any key, a Busy one only its major keys, a Full one none.
-    fn is_available(&self, w: &Worker, job: &Job, slots_per_worker: f64) -> bool {
-        let major_keys = (T_MAJOR * self.usable_slots(w)).max(1.0) as usize;
-        match self.worker_state(w, job.slots, slots_per_worker) {
+    fn is_available(&self, worker: &Worker, job: &Job, slots_per_worker: f64) -> bool {
+        let major_keys = (T_MAJOR * self.usable_slots(worker)).max(1.0) as usize;
+        match self.worker_state(worker, job.slots, slots_per_worker) {
             State::Full => false,
-            State::Busy => job.key.and_then(|key| w.key_rank(key)).is_some_and(|rank| rank < major_keys),
+            State::Busy => job.key.and_then(|key| worker.key_rank(key)).is_some_and(|rank| rank < major_keys),
             State::Free => true,
         }
     }
 
     /// The state of a worker for a job of `slots` slots whose key uses `slots_per_worker` slots on each of its
     /// workers.
-    fn worker_state(&self, w: &Worker, slots: f64, slots_per_worker: f64) -> State {
-        let (capacity, occupied) = (self.usable_slots(w), self.occupied_slots(w).max(slots_per_worker));
-        let queued = self.settings.reports_start && w.has_unstarted_job(self.now, QUEUED_AFTER);
+    fn worker_state(&self, worker: &Worker, slots: f64, slots_per_worker: f64) -> State {
+        let (capacity, occupied) =
+            (self.usable_slots(worker), self.occupied_slots(worker).max(slots_per_worker));
+        let queued = self.settings.reports_start && worker.has_unstarted_job(self.now, QUEUED_AFTER);
         let full = occupied + slots > (T_FULL * capacity).max(slots) + SLOT_ROUNDING;
         match occupied >= T_BUSY * capacity {
-            _ if queued || full || self.now < w.full_until => State::Full,
+            _ if queued || full || self.now < worker.full_until => State::Full,
             true => State::Busy,
             false => State::Free,
         }
@@ -263,15 +270,16 @@
 
     /// Slots in use: those of this dispatcher's jobs, and the mean of what reports show for other dispatchers. A mean
     /// is used because the newest report is older than a job is long.
-    pub(crate) fn occupied_slots(&self, w: &Worker) -> f64 {
-        let age = w.other_slots_at.map_or(0.0, |at| (self.now - at).secs());
+    pub(crate) fn occupied_slots(&self, worker: &Worker) -> f64 {
+        let age = worker.other_slots_at.map_or(0.0, |at| (self.now - at).secs());
         let decay = |other_slots: f64| other_slots.max(0.0) * (-age / REPORT_DECAY.secs()).exp();
-        w.own_slots + w.other_slots.map_or(self.mean_fill * self.usable_slots(w), decay)
+        worker.own_slots + worker.other_slots.map_or(self.mean_fill * self.usable_slots(worker), decay)
     }
 
     /// Slots of a worker, reduced while it is in slow start.
-    pub(crate) fn usable_slots(&self, w: &Worker) -> f64 {
-        w.learned_slots.unwrap_or(DEFAULT_SLOTS) * w.capacity_fraction(&self.settings.rules, self.now)
+    pub(crate) fn usable_slots(&self, worker: &Worker) -> f64 {
+        worker.learned_slots.unwrap_or(DEFAULT_SLOTS)
+            * worker.capacity_fraction(&self.settings.rules, self.now)
     }
 
     /// Whether the fleet has so many dispatchers that each one sends a worker only a small fraction of its jobs and
@@ -291,8 +299,9 @@
     /// Whether a job that has waited since `since` still waits, for `MAX_PROBE_WAIT` at most, for a pending probe of
     /// the chosen worker whose last report is stale. Otherwise all dispatchers would send to the same worker.
     pub(crate) fn awaits_probe(&self, to: WorkerId, since: Time) -> bool {
-        let stale =
-            |w: &Worker| w.probe_pending && w.reported_at.is_none_or(|at| self.now - at > STALE_AFTER);
+        let stale = |worker: &Worker| {
+            worker.probe_pending && worker.reported_at.is_none_or(|at| self.now - at > STALE_AFTER)
+        };
         self.probes_for_load()
             && self.is_shared_fleet()
             && self.now - since < MAX_PROBE_WAIT
@@ -323,8 +332,8 @@
     pub(crate) fn update_reserved(&mut self) {
         let mut capacity = vec![0.0; self.reserved.len()];
         let in_service = self.fleet.in_service.iter().filter_map(|id| self.fleet.get(*id));
-        for w in in_service.filter(|w| w.same_zone) {
-            w.kind.into_iter().for_each(|kind| capacity[kind.0] += T_BUSY * self.usable_slots(w));
+        for worker in in_service.filter(|worker| worker.same_zone) {
+            worker.kind.into_iter().for_each(|kind| capacity[kind.0] += T_BUSY * self.usable_slots(worker));
         }
         let (now, rate_factor) = (self.now, self.fleet_rate_factor());
         let mut fraction = |(demand, capacity): (&mut DecayingSum, f64)| {
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -52,7 +52,8 @@
                 job.assume_cancelled();
             }
             let to = self.choose_worker(&job, out);
-            let late = |id: WorkerId| self.fleet.get(id).map_or(1.0, |w| self.late_probability(w, &job));
+            let late =
+                |id: WorkerId| self.fleet.get(id).map_or(1.0, |worker| self.late_probability(worker, &job));
             // Free slots reported by the current worker do not count: that the job still waits there shows that the
             // report was wrong.
             let late_here =
@@ -78,7 +79,7 @@
 
     /// Whether a job may be sent to a worker now. Every send passes this check, which enforces the four rules.
     pub(crate) fn may_send(&self, job: &Job, to: WorkerId) -> bool {
-        let Some(w) = self.fleet.get(to) else { return false };
+        let Some(worker) = self.fleet.get(to) else { return false };
         let class = &self.settings.classes[job.class.0];
         // Rule 1: no send after the request's end or deadline, and no more attempts than the settings allow.
         let attempts_left = job.attempts.len() < self.settings.limits.max_attempts;
@@ -89,23 +90,23 @@
         let single = job.pending_attempts() == 0 || self.settings.limits.second_copies;
         // Rule 3: only workers that this dispatcher's list has in service, by a list that is not too old. Rule 2 is
         // checked by `may_repeat`, rule 4 by `slow_start_turn`.
-        let kind = class.kind.is_none() || class.kind == w.kind;
+        let kind = class.kind.is_none() || class.kind == worker.kind;
         open && single
             && self.may_repeat(job, to)
-            && w.in_service
+            && worker.in_service
             && kind
-            && self.slow_start_turn(w).is_some()
+            && self.slow_start_turn(worker).is_some()
     }
 
     /// Rule 2: a job that may have run is repeated only as its class allows.
     pub(crate) fn may_repeat(&self, job: &Job, to: WorkerId) -> bool {
-        let (effect, w) = (self.settings.classes[job.class.0].effect, self.fleet.get(to));
+        let (effect, worker) = (self.settings.classes[job.class.0].effect, self.fleet.get(to));
         let mut runs = job.possible_runs();
         match effect {
             Effect::Safe => true,
             Effect::Unsafe => runs.next().is_none(),
             Effect::Keyed { .. } => {
-                runs.all(|(group, _)| w.is_some_and(|w| *group == w.dedup_group(to, effect)))
+                runs.all(|(group, _)| worker.is_some_and(|worker| *group == worker.dedup_group(to, effect)))
             }
         }
     }
@@ -120,21 +121,21 @@
     /// Sends a job if `may_send` allows it. No other function pushes [`Action::Send`].
     pub(crate) fn send(&mut self, id: RequestId, to: WorkerId, out: &mut Vec<Action>) {
         let Some(job) = self.requests.get(id).filter(|job| self.may_send(job, to)) else { return };
-        let Some(w) = self.fleet.get(to) else { return };
-        let group = w.dedup_group(to, self.settings.classes[job.class.0].effect);
-        let (turn, now, by) = (self.slow_start_turn(w).unwrap_or(i64::MIN), self.now, self.send_by(job));
-        let (Some(w), Some(job)) = (self.fleet.get_mut(to), self.requests.get_mut(id)) else { return };
-        w.on_sent(now, job.slots, OWN_SLOTS_DECAY);
+        let Some(worker) = self.fleet.get(to) else { return };
+        let group = worker.dedup_group(to, self.settings.classes[job.class.0].effect);
+        let (turn, now, by) = (self.slow_start_turn(worker).unwrap_or(i64::MIN), self.now, self.send_by(job));
+        let (Some(worker), Some(job)) = (self.fleet.get_mut(to), self.requests.get_mut(id)) else { return };
+        worker.on_sent(now, job.slots, OWN_SLOTS_DECAY);
         if let Some(key) = job.key {
-            w.count_key(key, 1.0, now, KEY_DECAY, MIN_KEY_COUNT);
+            worker.count_key(key, 1.0, now, KEY_DECAY, MIN_KEY_COUNT);
         }
-        w.last_turn = w.last_turn.max(turn);
+        worker.last_turn = worker.last_turn.max(turn);
         if let (Some(tenant), true) = (job.tenant, job.attempts.is_empty()) {
             self.tenant_buckets[tenant.0].add(-1.0);
         }
         job.attempts.push(Attempt::new(to, now, group));
         let (timeout, last) = (Some(job.deadline - now), job.deadline - self.settings.quantum);
-        out.push(Action::Send { request: id, worker: w.name.clone(), timeout, by });
+        out.push(Action::Send { request: id, worker: worker.name.clone(), timeout, by });
         self.hedge(id, last, out);
     }
 }
