--- a/crates/faktory/src/lib.rs
+++ b/crates/faktory/src/lib.rs
@@ -4,7 +4,7 @@
 //! consumer's FETCH. ACK and FAIL end it.
 
 mod codec;
-mod hall;
+mod registry;
 mod server;
 mod transport;
 
@@ -13,7 +13,7 @@
 
 use serde::Deserialize;
 
-pub use server::{Operators, Server};
+pub use server::{OperatorHandle, Server};
 
 use rookspoke_decisions::{Discovery, Reporting, Settings, Span};
 
@@ -48,7 +48,7 @@
 fn settings(platform: &Settings) -> Settings {
     let mut s = platform.clone();
     (s.me, s.balancers) = (0, 1);
-    (s.zone, s.zones) = (hall::ZONE.into(), vec![hall::ZONE.into()]);
+    (s.zone, s.zones) = (registry::ZONE.into(), vec![registry::ZONE.into()]);
     (s.discovery, s.reporting) = (Discovery::Automatic, Reporting::Answers);
     (s.tells_start, s.limits.probes, s.limits.cancel) = (true, false, true);
     // A consumer says nothing of a job that it runs.
--- a/crates/faktory/src/hall.rs
+++ b/crates/faktory/src/registry.rs
@@ -1,7 +1,7 @@
 //! Who is there and who holds what: consumers, the jobs offered to them, and the reservations.
 //!
 //! An offer is a call attempt that waits for its consumer's FETCH; a reservation is one that was fetched and
-//! waits for ACK or FAIL. Both end at most once: who takes one out of the hall decides how.
+//! waits for ACK or FAIL. Both end at most once: who takes one out of the registry decides how.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -66,7 +66,7 @@
 
 /// Everything that consumers and the core share.
 #[derive(Default)]
-pub struct Hall {
+pub struct ConsumerRegistry {
     inside: Mutex<Inside>,
     /// Wakes waiting FETCHes when something is offered or changes.
     pub news: Notify,
@@ -82,7 +82,7 @@
     Draining,
 }
 
-impl Hall {
+impl ConsumerRegistry {
     fn lock(&self) -> MutexGuard<'_, Inside> {
         self.inside.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/faktory/src/server.rs
+++ b/crates/faktory/src/server.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::Framed;
 
 use super::codec::{BadCommand, Beat, Codec, Command, Job, Reply, VERSION};
-use super::hall::{Fetch, Hall};
+use super::registry::{ConsumerRegistry, Fetch};
 use super::transport::{deadline, Call, Consumers};
 use super::{settings, FaktoryConfig};
 use rookspoke_decisions::{
@@ -26,7 +26,7 @@
 /// A FETCH that finds nothing waits this long, as the specification has it.
 const FETCH_WAIT: Duration = Duration::from_secs(2);
 /// A client must say HELLO within `first`. Producers may keep their connections for as long as there is room,
-/// and consumers are looked after by the hall.
+/// and consumers are looked after by the registry.
 const SILENT: rookspoke_guard::Timeouts = rookspoke_guard::Timeouts {
     first_request: Duration::from_secs(3),
     request: Duration::MAX,
@@ -67,7 +67,7 @@
 }
 
 struct Shared {
-    hall: Arc<Hall>,
+    registry: Arc<ConsumerRegistry>,
     handle: Handle<Call, ()>,
     clock: Clock,
     settings: Settings,
@@ -90,17 +90,17 @@
 
 /// What operators may ask of the work server.
 #[derive(Clone)]
-pub struct Operators(Arc<Shared>);
+pub struct OperatorHandle(Arc<Shared>);
 
-impl Operators {
+impl OperatorHandle {
     /// Whether a consumer of this name takes part, or is taken out by hand.
-    pub async fn knows(&self, wid: &str) -> bool {
+    pub async fn is_known(&self, wid: &str) -> bool {
         self.0.handle.is_known(wid).await
     }
 
     /// Says all that is taken out by hand; nothing new is handed out there once this has ended.
-    pub async fn ban(&self, bans: Arc<[Ban]>) {
-        self.0.hall.ban(bans.iter().map(|ban| ban.worker.clone()).collect());
+    pub async fn set_bans(&self, bans: Arc<[Ban]>) {
+        self.0.registry.ban(bans.iter().map(|ban| ban.worker.clone()).collect());
         self.0.handle.set_bans(bans).await;
     }
 }
@@ -120,21 +120,21 @@
         let settings = settings(platform);
         let limits = Limits { queue: 4 * config.max_connections.max(64), open_requests: 4096 };
         let (handle, core) = Core::new(limits, settings.classes.iter().map(|class| &class.name));
-        let (hall, clock) = (Arc::new(Hall::default()), Clock::start());
+        let (registry, clock) = (Arc::new(ConsumerRegistry::default()), Clock::start());
         let transport =
-            Consumers { hall: hall.clone(), handle: handle.clone(), clock, claim: config.claim() };
+            Consumers { registry: registry.clone(), handle: handle.clone(), clock, claim: config.claim() };
         let core = core.run(settings.clone(), seed, clock, transport);
         let (tell_phase, phase) = watch::channel(Phase::Open);
         let jids = Mutex::default();
         let open = watch::Sender::new(0);
-        let shared = Shared { hall, handle, clock, settings, class_time, active, phase, jids, open };
+        let shared = Shared { registry, handle, clock, settings, class_time, active, phase, jids, open };
         let limit = ConnectionLimit::new(config.max_connections, SILENT);
         (Server { shared: Arc::new(shared), limit, reconnect: config.reconnect(), phase: tell_phase }, core)
     }
 
     /// What operators may ask of it.
-    pub fn operators(&self) -> Operators {
-        Operators(self.shared.clone())
+    pub fn operator_handle(&self) -> OperatorHandle {
+        OperatorHandle(self.shared.clone())
     }
 
     /// The running totals.
@@ -162,7 +162,7 @@
                 _ = sweep.tick() => {
                     let ago = |time| Instant::now().checked_sub(time);
                     if let (Some(left), Some(silent)) = (ago(self.reconnect), ago(SILENCE)) {
-                        let changes = self.shared.hall.sweep(left, silent);
+                        let changes = self.shared.registry.sweep(left, silent);
                         self.shared.list(changes).await;
                     }
                 }
@@ -195,7 +195,7 @@
                 let _ = timeout(PATIENCE, connection.frames.send(Reply::Error(error.to_string()))).await;
             }
             if let Some(wid) = &connection.wid {
-                let change = connection.shared.hall.leave(wid);
+                let change = connection.shared.registry.leave(wid);
                 connection.shared.list(change).await;
             }
         });
@@ -282,7 +282,7 @@
                 self.permit.request_received();
                 self.wid = hello.wid.filter(|wid| !wid.is_empty()).map(Name::from);
                 if let Some(wid) = &self.wid {
-                    self.shared.hall.join(wid);
+                    self.shared.registry.join(wid);
                 }
                 self.reply(Reply::ok()).await?;
             }
@@ -441,11 +441,11 @@
             if !*shared.active.borrow() && *shared.phase.borrow() == Phase::Open {
                 return Some(Reply::Error("this server is a backup: fetch from the master".into()));
             }
-            let news = shared.hall.news.notified();
+            let news = shared.registry.news.notified();
             let mut news = std::pin::pin!(news);
             // From here on no news is missed, whatever happens between the look and the wait.
             news.as_mut().enable();
-            let (found, joins) = shared.hall.fetch(&wid, queues, shared.clock.now());
+            let (found, joins) = shared.registry.fetch(&wid, queues, shared.clock.now());
             shared.list(joins).await;
             match found {
                 Fetch::Job(job) => return Some(Reply::Bulk(job.raw.clone())),
@@ -463,7 +463,7 @@
     }
 
     fn end(&self, jid: &str, result: Result<(), Outcome>) -> Reply {
-        if !self.shared.hall.end(jid, self.wid.as_ref(), result) {
+        if !self.shared.registry.end(jid, self.wid.as_ref(), result) {
             // The job's outcome is settled; the consumer need not hear of it again.
             self.shared.handle.counters().late_reports.increment();
         }
@@ -472,13 +472,13 @@
 
     async fn beat(&self, beat: &Beat) -> Reply {
         let quiet = matches!(beat.current_state.as_deref(), Some("quiet" | "terminate"));
-        let change = self.shared.hall.beat(&Name::from(beat.wid.as_str()), quiet);
+        let change = self.shared.registry.beat(&Name::from(beat.wid.as_str()), quiet);
         self.shared.list(change).await;
         Reply::ok()
     }
 
     fn info(&self) -> String {
-        let (listed, offered, reserved) = self.shared.hall.figures();
+        let (listed, offered, reserved) = self.shared.registry.figures();
         let counters = self.shared.handle.counters();
         let figures = serde_json::json!({
             "server": {"faktory_version": VERSION, "description": "rookspoke"},
--- a/crates/faktory/src/transport.rs
+++ b/crates/faktory/src/transport.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::codec::Job;
-use super::hall::{Claimed, Hall, Ticket};
+use super::registry::{Claimed, ConsumerRegistry, Ticket};
 use rookspoke_decisions::{Name, Note, Outcome, Time};
 use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Handle, ProbeResult, Transport};
 
@@ -34,7 +34,7 @@
 }
 
 pub struct Consumers {
-    pub hall: Arc<Hall>,
+    pub registry: Arc<ConsumerRegistry>,
     pub handle: Handle<Call, ()>,
     pub clock: Clock,
     /// How long an offer waits for its consumer.
@@ -42,7 +42,7 @@
 }
 
 /// Takes the offer or the reservation back when its attempt is called off.
-struct Withdraw(Arc<Hall>, Ticket);
+struct Withdraw(Arc<ConsumerRegistry>, Ticket);
 
 impl Drop for Withdraw {
     fn drop(&mut self) {
@@ -58,13 +58,14 @@
         &mut self,
         attempt: CallAttempt<Call>,
     ) -> impl Future<Output = AttemptResult<()>> + Send + 'static {
-        let (hall, handle, clock, claim) = (self.hall.clone(), self.handle.clone(), self.clock, self.claim);
+        let (registry, handle, clock, claim) =
+            (self.registry.clone(), self.handle.clone(), self.clock, self.claim);
         async move {
             let CallAttempt { request, attempt: number, worker, deadline, call, .. } = attempt;
             call.accept();
             let reserve_for = call.job.reserve_for;
-            let (ticket, claimed) = hall.offer(&worker, call.job, deadline);
-            let _withdraw = Withdraw(hall.clone(), ticket);
+            let (ticket, claimed) = registry.offer(&worker, call.job, deadline);
+            let _withdraw = Withdraw(registry.clone(), ticket);
             let patience = claim.min(clock.until(deadline));
             let outcome = match timeout(patience, claimed).await {
                 Ok(Ok(Claimed::Fetched(outcome))) => outcome,
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -59,7 +59,7 @@
     /// Once the HTTP front is up.
     serving: Option<Serving>,
     /// What operators ask of the Faktory front, if it is on.
-    faktory: Option<faktory::Operators>,
+    faktory: Option<faktory::OperatorHandle>,
     /// What operators use; it ends with the process.
     operators: JoinSet<()>,
     logging: Arc<Logging>,
@@ -145,7 +145,7 @@
         let active = match &faktory.vrrp {
             Some(vrrp) => {
                 let driver = vrrp::Driver::open(vrrp).await?;
-                let master = driver.master();
+                let master = driver.active();
                 self.vrrp = Some((driver.counters(), master.clone()));
                 self.parts.spawn(driver.run(self.stopped()));
                 master
@@ -156,7 +156,7 @@
         let (settings, times) = (&config.settings, config.class_deadlines.clone());
         let (server, core) = faktory::Server::new(faktory, settings, times, config.seed, active);
         self.counters.push(("faktory", server.counters()));
-        self.faktory = Some(server.operators());
+        self.faktory = Some(server.operator_handle());
         self.cores.spawn(async move { tracing::error!("the faktory core ended: {:?}", core.await) });
         self.parts.spawn(server.serve(listener, self.stopped()));
         tracing::info!("{}: faktory listens at {at}", config.name);
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -28,13 +28,13 @@
 #[derive(Clone)]
 pub struct Fronts {
     pub channel: Channel,
-    pub faktory: Option<faktory::Operators>,
+    pub faktory: Option<faktory::OperatorHandle>,
 }
 
 impl Fronts {
     async fn knows(&self, worker: &str) -> bool {
         match &self.faktory {
-            Some(faktory) if faktory.knows(worker).await => true,
+            Some(faktory) if faktory.is_known(worker).await => true,
             _ => self.channel.knows(worker).await,
         }
     }
@@ -46,7 +46,7 @@
         let bans: Arc<[Ban]> = held.bans.iter().map(ban).collect();
         self.channel.ban(bans.clone()).await;
         if let Some(faktory) = &self.faktory {
-            faktory.ban(bans).await;
+            faktory.set_bans(bans).await;
         }
     }
 }
--- a/crates/vrrp/src/driver.rs
+++ b/crates/vrrp/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs a [`Machine`] on a UDP socket.
+//! Runs a [`StateMachine`] on a UDP socket.
 
 use std::fmt;
 use std::future::Future;
@@ -9,8 +9,8 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-use super::machine::Machine;
 use super::packet::Advertisement;
+use super::state_machine::StateMachine;
 use super::VrrpConfig;
 use rookspoke_config::ConfigError;
 use rookspoke_dispatch::{Clock, Counter};
@@ -46,7 +46,7 @@
 
 /// A machine with its socket.
 pub struct Driver {
-    machine: Machine,
+    machine: StateMachine,
     own: Advertisement,
     socket: UdpSocket,
     peers: Vec<SocketAddrV4>,
@@ -62,7 +62,7 @@
         let socket = UdpSocket::bind(config.listen).await;
         Ok(Driver {
             own: params.own.clone(),
-            machine: Machine::new(params),
+            machine: StateMachine::new(params),
             socket: socket.map_err(|e| ConfigError::new("vrrp.listen", e))?,
             peers: config.peers.clone(),
             clock: Clock::start(),
@@ -72,7 +72,7 @@
     }
 
     /// Whether this daemon is the master.
-    pub fn master(&self) -> watch::Receiver<bool> {
+    pub fn active(&self) -> watch::Receiver<bool> {
         self.master.subscribe()
     }
 
@@ -143,7 +143,7 @@
                 }
             }
         }
-        let master = self.machine.is_master();
+        let master = self.machine.is_active();
         if self.master.send_replace(master) != master {
             tracing::info!("vrrp: {}", if master { "master" } else { "no longer master" });
         }
--- a/crates/vrrp/src/lib.rs
+++ b/crates/vrrp/src/lib.rs
@@ -2,16 +2,16 @@
 //! them accepts new work.
 
 mod driver;
-mod machine;
 mod packet;
+mod state_machine;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde::Deserialize;
 
 pub use driver::{Driver, VrrpCounters};
-pub use machine::{Machine, Params, State};
-pub use packet::{Advertisement, BadAdvertisement};
+pub use packet::{Advertisement, AdvertisementError};
+pub use state_machine::{Params, State, StateMachine};
 
 use rookspoke_config::ConfigError;
 
--- a/crates/vrrp/src/packet.rs
+++ b/crates/vrrp/src/packet.rs
@@ -25,7 +25,7 @@
 
 /// Why bytes are no advertisement.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum BadAdvertisement {
+pub enum AdvertisementError {
     /// Too short, or not as long as its count of addresses says.
     #[error("its length is wrong")]
     Length,
@@ -66,29 +66,29 @@
     }
 
     /// Reads what came.
-    pub fn decode(bytes: &[u8]) -> Result<Self, BadAdvertisement> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, AdvertisementError> {
         let [first, vrid, priority, count, high, low, _, _, addresses @ ..] = bytes else {
-            return Err(BadAdvertisement::Length);
+            return Err(AdvertisementError::Length);
         };
         if first >> 4 != VERSION {
-            return Err(BadAdvertisement::Version);
+            return Err(AdvertisementError::Version);
         }
         if first & 0x0f != ADVERTISEMENT {
-            return Err(BadAdvertisement::Type);
+            return Err(AdvertisementError::Type);
         }
         if addresses.len() != 4 * usize::from(*count) {
-            return Err(BadAdvertisement::Length);
+            return Err(AdvertisementError::Length);
         }
         // With its own checksum in place, the sum of all is zero.
         if checksum(bytes) != 0 {
-            return Err(BadAdvertisement::Checksum);
+            return Err(AdvertisementError::Checksum);
         }
         if *count == 0 {
-            return Err(BadAdvertisement::NoAddress);
+            return Err(AdvertisementError::NoAddress);
         }
         let interval_cs = u16::from_be_bytes([high & 0x0f, *low]);
         if interval_cs == 0 {
-            return Err(BadAdvertisement::Interval);
+            return Err(AdvertisementError::Interval);
         }
         let addresses = addresses.chunks_exact(4).map(|a| Ipv4Addr::new(a[0], a[1], a[2], a[3])).collect();
         Ok(Advertisement { vrid: *vrid, priority: *priority, interval_cs, addresses })
@@ -129,14 +129,14 @@
             bytes[at] = byte;
             Advertisement::decode(&bytes)
         };
-        assert_eq!(with(0, 0x21), Err(BadAdvertisement::Version));
-        assert_eq!(with(0, 0x32), Err(BadAdvertisement::Type));
-        assert_eq!(with(2, 101), Err(BadAdvertisement::Checksum));
-        assert_eq!(with(3, 2), Err(BadAdvertisement::Length));
-        assert_eq!(Advertisement::decode(&good[..7]), Err(BadAdvertisement::Length));
+        assert_eq!(with(0, 0x21), Err(AdvertisementError::Version));
+        assert_eq!(with(0, 0x32), Err(AdvertisementError::Type));
+        assert_eq!(with(2, 101), Err(AdvertisementError::Checksum));
+        assert_eq!(with(3, 2), Err(AdvertisementError::Length));
+        assert_eq!(Advertisement::decode(&good[..7]), Err(AdvertisementError::Length));
         let empty = Advertisement { addresses: Vec::new(), ..advertisement() };
-        assert_eq!(Advertisement::decode(&empty.encode()), Err(BadAdvertisement::NoAddress));
+        assert_eq!(Advertisement::decode(&empty.encode()), Err(AdvertisementError::NoAddress));
         let never = Advertisement { interval_cs: 0, ..advertisement() };
-        assert_eq!(Advertisement::decode(&never.encode()), Err(BadAdvertisement::Interval));
+        assert_eq!(Advertisement::decode(&never.encode()), Err(AdvertisementError::Interval));
     }
 }
--- a/crates/vrrp/src/machine.rs
+++ b/crates/vrrp/src/state_machine.rs
@@ -29,33 +29,33 @@
     /// Watches the master; takes over when it falls silent.
     Backup {
         /// When the master counts as down.
-        master_down: Time,
+        active_down_timer: Time,
     },
     /// Does the work and says so.
-    Master {
+    Active {
         /// When it says so next.
-        advertise: Time,
+        adver_timer: Time,
     },
 }
 
 /// One virtual router.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct StateMachine {
     params: Params,
     state: State,
     /// The interval of the master, as its advertisements tell it.
-    master_interval: Span,
+    active_adver_interval: Span,
 }
 
 fn interval(centiseconds: u16) -> Span {
     Span(i64::from(centiseconds) * 10_000)
 }
 
-impl Machine {
+impl StateMachine {
     /// A machine that has not started.
     pub fn new(params: Params) -> Self {
-        let master_interval = interval(params.own.interval_cs);
-        Machine { params, state: State::Initialize, master_interval }
+        let active_adver_interval = interval(params.own.interval_cs);
+        StateMachine { params, state: State::Initialize, active_adver_interval }
     }
 
     /// Where it stands.
@@ -64,27 +64,27 @@
     }
 
     /// Whether it is the master.
-    pub fn is_master(&self) -> bool {
-        matches!(self.state, State::Master { .. })
+    pub fn is_active(&self) -> bool {
+        matches!(self.state, State::Active { .. })
     }
 
-    /// When [`Machine::tick`] has something to do.
+    /// When [`StateMachine::tick`] has something to do.
     pub fn next(&self) -> Option<Time> {
         match self.state {
             State::Initialize => None,
-            State::Backup { master_down } => Some(master_down),
-            State::Master { advertise } => Some(advertise),
+            State::Backup { active_down_timer } => Some(active_down_timer),
+            State::Active { adver_timer } => Some(adver_timer),
         }
     }
 
     /// The lower the priority, the later a backup takes over.
     pub fn skew_time(&self) -> Span {
-        Span((256 - i64::from(self.params.own.priority)) * self.master_interval.0 / 256)
+        Span((256 - i64::from(self.params.own.priority)) * self.active_adver_interval.0 / 256)
     }
 
     /// How long a master may be silent.
-    pub fn master_down_interval(&self) -> Span {
-        Span(3 * self.master_interval.0 + self.skew_time().0)
+    pub fn active_down_interval(&self) -> Span {
+        Span(3 * self.active_adver_interval.0 + self.skew_time().0)
     }
 
     /// The event `Startup`. Returns what to advertise at once.
@@ -93,16 +93,16 @@
             return None;
         }
         if self.params.own.priority == OWNER {
-            return Some(self.become_master(now));
+            return Some(self.become_active(now));
         }
-        self.master_interval = interval(self.params.own.interval_cs);
+        self.active_adver_interval = interval(self.params.own.interval_cs);
         self.watch(now);
         None
     }
 
     /// The event `Shutdown`.
     pub fn shut_down(&mut self) -> Option<Advertisement> {
-        let was_master = self.is_master();
+        let was_master = self.is_active();
         self.state = State::Initialize;
         was_master.then(|| Advertisement { priority: STOPPING, ..self.params.own.clone() })
     }
@@ -110,8 +110,8 @@
     /// The timer that is running, if it is due.
     pub fn tick(&mut self, now: Time) -> Option<Advertisement> {
         match self.state {
-            State::Backup { master_down } if master_down <= now => Some(self.become_master(now)),
-            State::Master { advertise } if advertise <= now => Some(self.become_master(now)),
+            State::Backup { active_down_timer } if active_down_timer <= now => Some(self.become_active(now)),
+            State::Active { adver_timer } if adver_timer <= now => Some(self.become_active(now)),
             _ => None,
         }
     }
@@ -128,33 +128,33 @@
             State::Initialize => None,
             State::Backup { .. } => {
                 if heard.priority == STOPPING {
-                    self.state = State::Backup { master_down: now + self.skew_time() };
+                    self.state = State::Backup { active_down_timer: now + self.skew_time() };
                 } else if !self.params.preempt || heard.priority >= own {
-                    self.master_interval = interval(heard.interval_cs);
+                    self.active_adver_interval = interval(heard.interval_cs);
                     self.watch(now);
                 }
                 None
             }
-            State::Master { .. } => {
+            State::Active { .. } => {
                 let stronger = (heard.priority, from) > (own, self.params.address);
                 if heard.priority != STOPPING && stronger {
-                    self.master_interval = interval(heard.interval_cs);
+                    self.active_adver_interval = interval(heard.interval_cs);
                     self.watch(now);
                     return None;
                 }
                 // One that stops, or one that should be a backup: both are told who the master is.
-                Some(self.become_master(now))
+                Some(self.become_active(now))
             }
         }
     }
 
     fn watch(&mut self, now: Time) {
-        self.state = State::Backup { master_down: now + self.master_down_interval() };
+        self.state = State::Backup { active_down_timer: now + self.active_down_interval() };
     }
 
-    fn become_master(&mut self, now: Time) -> Advertisement {
+    fn become_active(&mut self, now: Time) -> Advertisement {
         let own = interval(self.params.own.interval_cs);
-        self.state = State::Master { advertise: now + own };
+        self.state = State::Active { adver_timer: now + own };
         self.params.own.clone()
     }
 }
@@ -177,14 +177,14 @@
         SocketAddrV4::new([10, 0, 0, last].into(), 112)
     }
 
-    fn backup(priority: u8, preempt: bool) -> Machine {
+    fn backup(priority: u8, preempt: bool) -> StateMachine {
         let params = Params { own: advertisement(priority, 100), address: address(5), preempt };
-        let mut machine = Machine::new(params);
+        let mut machine = StateMachine::new(params);
         assert_eq!(machine.start(at(0)), None);
         machine
     }
 
-    fn master(priority: u8) -> Machine {
+    fn master(priority: u8) -> StateMachine {
         let mut machine = backup(priority, true);
         let down = machine.next().expect("a timer runs");
         machine.tick(down).expect("it takes over and says so");
@@ -194,13 +194,13 @@
     #[test]
     fn the_owner_is_master_at_once_and_says_so_at_every_interval() {
         let params = Params { own: advertisement(255, 50), address: address(5), preempt: true };
-        let mut machine = Machine::new(params);
+        let mut machine = StateMachine::new(params);
         assert_eq!(machine.state(), State::Initialize);
         assert_eq!(machine.next(), None);
         assert_eq!(machine.start(at(10)), Some(advertisement(255, 50)));
         assert_eq!(machine.tick(at(59)), None);
         assert_eq!(machine.tick(at(60)), Some(advertisement(255, 50)));
-        assert_eq!(machine.state(), State::Master { advertise: at(110) });
+        assert_eq!(machine.state(), State::Active { adver_timer: at(110) });
         assert_eq!(machine.start(at(70)), None, "it has started already");
     }
 
@@ -211,7 +211,7 @@
         assert_eq!(machine.skew_time(), Span(500_000));
         assert_eq!(machine.tick(at(349)), None);
         assert_eq!(machine.tick(at(350)), Some(advertisement(128, 100)));
-        assert!(machine.is_master());
+        assert!(machine.is_active());
     }
 
     #[test]
@@ -219,27 +219,27 @@
         let mut machine = backup(128, true);
         assert_eq!(machine.received(at(100), &advertisement(200, 40), address(9)), None);
         // 3 * 40 cs, and 20 cs of skew.
-        assert_eq!(machine.state(), State::Backup { master_down: at(240) });
+        assert_eq!(machine.state(), State::Backup { active_down_timer: at(240) });
     }
 
     #[test]
     fn a_master_that_stops_is_followed_after_the_skew_alone() {
         let mut machine = backup(128, true);
         assert_eq!(machine.received(at(100), &advertisement(0, 100), address(9)), None);
-        assert_eq!(machine.state(), State::Backup { master_down: at(150) });
+        assert_eq!(machine.state(), State::Backup { active_down_timer: at(150) });
     }
 
     #[test]
     fn a_weaker_master_is_overruled_only_with_preemption() {
         let mut preempts = backup(128, true);
         preempts.received(at(300), &advertisement(100, 100), address(9));
-        assert_eq!(preempts.state(), State::Backup { master_down: at(350) }, "not heeded");
+        assert_eq!(preempts.state(), State::Backup { active_down_timer: at(350) }, "not heeded");
         let mut patient = backup(128, false);
         patient.received(at(300), &advertisement(100, 100), address(9));
-        assert_eq!(patient.state(), State::Backup { master_down: at(650) });
+        assert_eq!(patient.state(), State::Backup { active_down_timer: at(650) });
         let mut equal = backup(128, true);
         equal.received(at(300), &advertisement(128, 100), address(9));
-        assert_eq!(equal.state(), State::Backup { master_down: at(650) });
+        assert_eq!(equal.state(), State::Backup { active_down_timer: at(650) });
     }
 
     #[test]
@@ -247,8 +247,8 @@
         let yields = |priority, from| {
             let mut machine = master(128);
             let said = machine.received(at(400), &advertisement(priority, 100), from);
-            assert_eq!(said.is_none(), !machine.is_master(), "a master that stays says so");
-            !machine.is_master()
+            assert_eq!(said.is_none(), !machine.is_active(), "a master that stays says so");
+            !machine.is_active()
         };
         assert!(yields(129, address(1)));
         assert!(yields(128, address(9)));
