--- a/crates/vrrp/src/driver.rs
+++ b/crates/vrrp/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs a [`StateMachine`] on a UDP socket.
+//! Drives a [`StateMachine`] with a UDP socket and the clock.
 
 use std::fmt;
 use std::future::Future;
@@ -15,137 +15,145 @@
 use rookspoke_config::ConfigError;
 use rookspoke_dispatch::{Clock, Counter};
 
-/// The longest advertisement, with 255 addresses; more than that is cut off and dropped.
-const MAX_PACKET: usize = 8 + 4 * 255;
-/// Pause after the socket failed, most likely because a peer's port is closed.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Length of the longest advertisement, with 255 addresses. A longer packet is truncated on receipt, and dropped.
+const MAX_PACKET_LEN: usize = 8 + 4 * 255;
+/// Pause after an error of the socket, which mostly means that a peer's port is closed.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// What was sent, heard and dropped.
+/// Totals of the packets sent, accepted and dropped.
 #[derive(Debug, Default)]
 pub struct VrrpCounters {
-    /// Advertisements sent, one for each peer.
+    /// Advertisements sent, counted once for each peer.
     pub sent: Counter,
-    /// Advertisements heeded.
-    pub heard: Counter,
-    /// What was no advertisement of this virtual router by a configured peer.
+    /// Valid advertisements of this virtual router from configured peers; reported as `heard`.
+    pub received: Counter,
+    /// All other packets: from another sender, damaged, or of another virtual router.
     pub dropped: Counter,
 }
 
 impl VrrpCounters {
-    /// Every total with its name, in a fixed order.
+    /// Every counter with its name, in a fixed order.
     pub fn pairs(&self) -> Vec<(&'static str, u64)> {
-        vec![("sent", self.sent.get()), ("heard", self.heard.get()), ("dropped", self.dropped.get())]
+        vec![("sent", self.sent.get()), ("heard", self.received.get()), ("dropped", self.dropped.get())]
     }
 }
 
 impl fmt::Display for VrrpCounters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "sent={} heard={} dropped={}", self.sent.get(), self.heard.get(), self.dropped.get())
+        write!(f, "sent={} heard={} dropped={}", self.sent.get(), self.received.get(), self.dropped.get())
     }
 }
 
-/// A machine with its socket.
+/// Runs the virtual router of this daemon: its state machine, its socket and its peers.
 pub struct Driver {
-    machine: StateMachine,
-    own: Advertisement,
+    state_machine: StateMachine,
+    own_advertisement: Advertisement,
     socket: UdpSocket,
     peers: Vec<SocketAddrV4>,
     clock: Clock,
     counters: Arc<VrrpCounters>,
-    master: watch::Sender<bool>,
+    active: watch::Sender<bool>,
 }
 
 impl Driver {
-    /// Opens the socket.
+    /// Binds the socket.
+    ///
+    /// # Errors
+    /// The configuration is invalid, or the address cannot be bound.
     pub async fn open(config: &VrrpConfig) -> Result<Self, ConfigError> {
         let params = config.params()?;
         let socket = UdpSocket::bind(config.listen).await;
         Ok(Driver {
-            own: params.own.clone(),
-            machine: StateMachine::new(params),
+            own_advertisement: params.own.clone(),
+            state_machine: StateMachine::new(params),
             socket: socket.map_err(|e| ConfigError::new("vrrp.listen", e))?,
             peers: config.peers.clone(),
             clock: Clock::start(),
             counters: Arc::default(),
-            master: watch::Sender::new(false),
+            active: watch::Sender::new(false),
         })
     }
 
-    /// Whether this daemon is the master.
+    /// Follows whether this daemon is the active router.
     pub fn active(&self) -> watch::Receiver<bool> {
-        self.master.subscribe()
+        self.active.subscribe()
     }
 
-    /// The running totals.
+    /// The counters, which keep running with the driver.
     pub fn counters(&self) -> Arc<VrrpCounters> {
         self.counters.clone()
     }
 
-    /// Takes part until `stop` ends, then says farewell.
+    /// Runs until `stop` completes; if active, then advertises priority 0, so that a backup takes over without the full
+    /// timeout.
     pub async fn run(mut self, stop: impl Future<Output = ()>) {
-        let first = self.machine.start(self.clock.now());
-        self.after(first).await;
+        let first = self.state_machine.start(self.clock.now());
+        self.apply(first).await;
         let mut stop = std::pin::pin!(stop);
-        let mut buffer = [0; MAX_PACKET + 1];
+        let mut buffer = [0; MAX_PACKET_LEN + 1];
         loop {
-            let wait = self.machine.next().map_or(Duration::from_secs(1), |at| self.clock.until(at));
-            let said = tokio::select! {
+            let timer = self.state_machine.next_timer();
+            let wait = timer.map_or(Duration::from_secs(1), |due| self.clock.until(due));
+            let advertisement = tokio::select! {
                 () = &mut stop => break,
-                () = tokio::time::sleep(wait) => self.machine.tick(self.clock.now()),
+                () = tokio::time::sleep(wait) => self.state_machine.on_timer(self.clock.now()),
                 received = self.socket.recv_from(&mut buffer) => match received {
-                    Ok((length, from)) => self.hear(&buffer[..length], from),
+                    Ok((length, from)) => self.on_packet(&buffer[..length], from),
                     Err(error) => {
-                        tracing::debug!("vrrp: {error}");
-                        tokio::time::sleep(PAUSE).await;
+                        tracing::debug!("vrrp: receive failed: {error}");
+                        tokio::time::sleep(RECEIVE_ERROR_PAUSE).await;
                         None
                     }
                 },
             };
-            self.after(said).await;
+            self.apply(advertisement).await;
         }
-        let farewell = self.machine.shut_down();
-        self.after(farewell).await;
+        let last = self.state_machine.shut_down();
+        self.apply(last).await;
     }
 
-    fn hear(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Advertisement> {
-        let drop = |why: &dyn fmt::Display| {
+    /// Validates a packet and passes it on to the state machine. Returns what to advertise in response.
+    fn on_packet(&mut self, bytes: &[u8], from: SocketAddr) -> Option<Advertisement> {
+        let drop_packet = |reason: &dyn fmt::Display| {
             self.counters.dropped.increment();
-            tracing::debug!("vrrp: {from}: {why}");
+            tracing::debug!("vrrp: dropped a packet from {from}: {reason}");
         };
         let SocketAddr::V4(from) = from else { return None };
-        // Over UDP there is no hop limit to check: who may speak is configured instead.
+        // The TTL check of RFC 9568 does not apply over UDP: the configured peers are the only accepted senders instead.
         if !self.peers.contains(&from) {
-            drop(&"not a peer");
+            drop_packet(&"the sender is not a configured peer");
             return None;
         }
-        let heard = match Advertisement::decode(bytes) {
-            Ok(heard) => heard,
-            Err(bad) => {
-                drop(&bad);
+        let advertisement = match Advertisement::decode(bytes) {
+            Ok(advertisement) => advertisement,
+            Err(error) => {
+                drop_packet(&error);
                 return None;
             }
         };
-        if heard.vrid != self.own.vrid || heard.addresses != self.own.addresses {
-            drop(&"another virtual router");
+        let own = &self.own_advertisement;
+        if advertisement.vrid != own.vrid || advertisement.addresses != own.addresses {
+            drop_packet(&"its VRID or virtual addresses are not those of this virtual router");
             return None;
         }
-        self.counters.heard.increment();
-        self.machine.received(self.clock.now(), &heard, from)
+        self.counters.received.increment();
+        self.state_machine.on_advertisement(self.clock.now(), &advertisement, from)
     }
 
-    async fn after(&mut self, said: Option<Advertisement>) {
-        if let Some(advertisement) = said {
+    /// Sends an advertisement to every peer, and publishes a change of the state.
+    async fn apply(&mut self, advertisement: Option<Advertisement>) {
+        if let Some(advertisement) = advertisement {
             let bytes = advertisement.encode();
             for peer in &self.peers {
                 match self.socket.send_to(&bytes, peer).await {
                     Ok(_) => self.counters.sent.increment(),
-                    Err(error) => tracing::debug!("vrrp: {peer}: {error}"),
+                    Err(error) => tracing::debug!("vrrp: send to {peer} failed: {error}"),
                 }
             }
         }
-        let master = self.machine.is_active();
-        if self.master.send_replace(master) != master {
-            tracing::info!("vrrp: {}", if master { "master" } else { "no longer master" });
+        let active = self.state_machine.is_active();
+        if self.active.send_replace(active) != active {
+            tracing::info!("vrrp: {}", if active { "master" } else { "no longer master" });
         }
     }
 }
--- a/crates/vrrp/src/packet.rs
+++ b/crates/vrrp/src/packet.rs
@@ -1,56 +1,57 @@
-//! The advertisement of VRRP version 3 for IPv4, as bytes.
+//! Encoding of the VRRP version 3 advertisement for IPv4 (RFC 9568, section 5).
 
 use std::net::Ipv4Addr;
 
 use thiserror::Error;
 
 const VERSION: u8 = 3;
-const ADVERTISEMENT: u8 = 1;
-const HEADER: usize = 8;
-/// The field for the interval has twelve bits.
-pub const MAX_INTERVAL: u16 = 0x0fff;
+const TYPE_ADVERTISEMENT: u8 = 1;
+/// Bytes ahead of the addresses.
+const HEADER_LEN: usize = 8;
+/// Largest advertisement interval in centiseconds: its field has 12 bits.
+pub const MAX_INTERVAL_CS: u16 = 0x0fff;
 
-/// An advertisement.
+/// A VRRP advertisement, with which the active router announces itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The virtual router.
+    /// Virtual router identifier (VRID).
     pub vrid: u8,
-    /// The sender's priority; 0 says that it stops.
+    /// The sender's priority; 0 announces that it stops being active.
     pub priority: u8,
-    /// How often the sender advertises, in hundredths of a second.
+    /// The sender's advertisement interval in centiseconds.
     pub interval_cs: u16,
-    /// The virtual addresses.
+    /// Virtual IPv4 addresses of the router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// Why bytes are no advertisement.
+/// Reasons to reject a packet as an advertisement.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AdvertisementError {
-    /// Too short, or not as long as its count of addresses says.
-    #[error("its length is wrong")]
+    /// Shorter than the header, or not as long as the count of addresses implies.
+    #[error("the length of the packet does not match its count of addresses")]
     Length,
-    /// Not version 3.
-    #[error("its version is not {VERSION}")]
+    /// The VRRP version is not 3.
+    #[error("the VRRP version is not {VERSION}")]
     Version,
-    /// Not an advertisement.
-    #[error("its type is unknown")]
+    /// The packet type is not ADVERTISEMENT, the only one that VRRP defines.
+    #[error("the packet type is not {TYPE_ADVERTISEMENT} (advertisement)")]
     Type,
-    /// No address at all.
-    #[error("it names no address")]
+    /// The count of addresses is 0.
+    #[error("the count of addresses is 0")]
     NoAddress,
-    /// Damaged on its way.
-    #[error("its checksum is wrong")]
+    /// The checksum does not match the content.
+    #[error("the checksum does not match the content")]
     Checksum,
-    /// An interval of nothing.
-    #[error("its interval is 0")]
+    /// The advertisement interval is 0.
+    #[error("the advertisement interval is 0")]
     Interval,
 }
 
 impl Advertisement {
-    /// The bytes to send.
+    /// Encodes the advertisement with its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![
-            VERSION << 4 | ADVERTISEMENT,
+            VERSION << 4 | TYPE_ADVERTISEMENT,
             self.vrid,
             self.priority,
             self.addresses.len() as u8,
@@ -59,13 +60,16 @@
             0,
             0,
         ];
-        self.addresses.iter().for_each(|a| bytes.extend_from_slice(&a.octets()));
+        self.addresses.iter().for_each(|address| bytes.extend_from_slice(&address.octets()));
         let sum = checksum(&bytes);
-        bytes[6..HEADER].copy_from_slice(&sum.to_be_bytes());
+        bytes[6..HEADER_LEN].copy_from_slice(&sum.to_be_bytes());
         bytes
     }
 
-    /// Reads what came.
+    /// Decodes a received packet.
+    ///
+    /// # Errors
+    /// The packet is not a valid VRRP version 3 advertisement for IPv4.
     pub fn decode(bytes: &[u8]) -> Result<Self, AdvertisementError> {
         let [first, vrid, priority, count, high, low, _, _, addresses @ ..] = bytes else {
             return Err(AdvertisementError::Length);
@@ -73,13 +77,13 @@
         if first >> 4 != VERSION {
             return Err(AdvertisementError::Version);
         }
-        if first & 0x0f != ADVERTISEMENT {
+        if first & 0x0f != TYPE_ADVERTISEMENT {
             return Err(AdvertisementError::Type);
         }
         if addresses.len() != 4 * usize::from(*count) {
             return Err(AdvertisementError::Length);
         }
-        // With its own checksum in place, the sum of all is zero.
+        // The checksum over a message that includes its own checksum is zero.
         if checksum(bytes) != 0 {
             return Err(AdvertisementError::Checksum);
         }
@@ -90,14 +94,17 @@
         if interval_cs == 0 {
             return Err(AdvertisementError::Interval);
         }
-        let addresses = addresses.chunks_exact(4).map(|a| Ipv4Addr::new(a[0], a[1], a[2], a[3])).collect();
+        let addresses = addresses
+            .chunks_exact(4)
+            .map(|octets| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]))
+            .collect();
         Ok(Advertisement { vrid: *vrid, priority: *priority, interval_cs, addresses })
     }
 }
 
-/// The Internet checksum over the message alone, as RFC 9568 has it for IPv4.
+/// The Internet checksum over the VRRP message without a pseudo-header, as RFC 9568 defines it for IPv4.
 fn checksum(bytes: &[u8]) -> u16 {
-    let words = bytes.chunks(2).map(|w| u32::from(w[0]) << 8 | u32::from(*w.get(1).unwrap_or(&0)));
+    let words = bytes.chunks(2).map(|pair| u32::from(pair[0]) << 8 | u32::from(*pair.get(1).unwrap_or(&0)));
     let mut sum: u32 = words.sum();
     while sum > 0xffff {
         sum = (sum & 0xffff) + (sum >> 16);
@@ -115,17 +122,17 @@
     }
 
     #[test]
-    fn bytes_are_laid_out_as_the_rfc_draws_them() {
+    fn advertisement_is_encoded_in_the_layout_of_the_rfc() {
         let bytes = advertisement().encode();
         assert_eq!(bytes, [0x31, 7, 100, 1, 0, 100, 0xa8, 0x91, 192, 0, 2, 1]);
         assert_eq!(Advertisement::decode(&bytes), Ok(advertisement()));
     }
 
     #[test]
-    fn damaged_or_foreign_bytes_are_told_apart() {
-        let good = advertisement().encode();
+    fn each_invalid_packet_is_rejected_with_its_own_error() {
+        let valid = advertisement().encode();
         let with = |at: usize, byte: u8| {
-            let mut bytes = good.clone();
+            let mut bytes = valid.clone();
             bytes[at] = byte;
             Advertisement::decode(&bytes)
         };
@@ -133,10 +140,10 @@
         assert_eq!(with(0, 0x32), Err(AdvertisementError::Type));
         assert_eq!(with(2, 101), Err(AdvertisementError::Checksum));
         assert_eq!(with(3, 2), Err(AdvertisementError::Length));
-        assert_eq!(Advertisement::decode(&good[..7]), Err(AdvertisementError::Length));
-        let empty = Advertisement { addresses: Vec::new(), ..advertisement() };
-        assert_eq!(Advertisement::decode(&empty.encode()), Err(AdvertisementError::NoAddress));
-        let never = Advertisement { interval_cs: 0, ..advertisement() };
-        assert_eq!(Advertisement::decode(&never.encode()), Err(AdvertisementError::Interval));
+        assert_eq!(Advertisement::decode(&valid[..7]), Err(AdvertisementError::Length));
+        let no_address = Advertisement { addresses: Vec::new(), ..advertisement() };
+        assert_eq!(Advertisement::decode(&no_address.encode()), Err(AdvertisementError::NoAddress));
+        let zero_interval = Advertisement { interval_cs: 0, ..advertisement() };
+        assert_eq!(Advertisement::decode(&zero_interval.encode()), Err(AdvertisementError::Interval));
     }
 }
