--- a/crates/vrrp/src/driver.rs
+++ b/crates/vrrp/src/driver.rs
@@ -119,7 +119,7 @@
             tracing::debug!("vrrp: dropped a packet from {from}: {reason}");
         };
         let SocketAddr::V4(from) = from else { return None };
-        // The TTL check of RFC 9568 does not apply over UDP: the configured peers are the only accepted senders instead.
+        // The TTL check of RFC 9568 does not apply over UDP: only configured peers are accepted as senders instead.
         if !self.peers.contains(&from) {
             drop_packet(&"the sender is not a configured peer");
             return None;
--- a/crates/vrrp/src/lib.rs
+++ b/crates/vrrp/src/lib.rs
@@ -1,8 +1,8 @@
 //! VRRP version 3 (RFC 9568) over unicast UDP: elects the daemon of a redundant pair whose Faktory front accepts new
 //! jobs.
 //!
-//! RFC 9568 says `Active` where RFC 5798 said `Master`. The code uses the newer term; log lines, the daemon's status and
-//! the settings say `master`.
+//! RFC 9568 says `Active` where RFC 5798 said `Master`. The code uses the newer term; log lines, the daemon's status
+//! and the settings say `master`.
 
 mod driver;
 mod packet;
@@ -20,6 +20,7 @@
 
 /// The section `vrrp` of the configuration.
 #[derive(Clone, Debug, Deserialize)]
+#[serde(expecting = "an object with the settings of VRRP")]
 pub struct VrrpConfig {
     /// Address and port that this daemon sends from and receives at. Breaks ties between equal priorities.
     pub listen: SocketAddrV4,
--- a/crates/vrrp/src/state_machine.rs
+++ b/crates/vrrp/src/state_machine.rs
@@ -1,5 +1,5 @@
-//! The state machine of RFC 9568, section 6.4. It does no I/O and reads no clock: the caller passes in the time, and sends
-//! the advertisements that are returned.
+//! The state machine of RFC 9568, section 6.4. It does no I/O and reads no clock: the caller passes in the time, and
+//! sends the advertisements that are returned.
 
 use std::net::SocketAddrV4;
 
