--- a/crates/faktory/src/codec.rs
+++ b/crates/faktory/src/codec.rs
@@ -1,4 +1,4 @@
-//! The frames of the Faktory work protocol: commands are lines, replies are in the form of RESP.
+//! Framing of the Faktory work protocol: commands are lines of text, replies are encoded as in RESP.
 
 use std::io;
 use std::time::Duration;
@@ -9,84 +9,88 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder, LinesCodec, LinesCodecError};
 
-/// The longest command, its end included.
-pub const MAX_FRAME: usize = 64 * 1024;
-/// The version of the protocol that is spoken here.
+/// Longest accepted command in bytes, without its line feed.
+pub const MAX_COMMAND_LEN: usize = 64 * 1024;
+/// Supported version of the protocol.
 pub const VERSION: u32 = 2;
-/// The shortest and the longest id of a job.
-const JID: std::ops::RangeInclusive<usize> = 8..=256;
-/// How long a consumer may hold a job that says nothing else, as the specification has it.
-const RESERVE_FOR: u64 = 1800;
+/// Accepted lengths of a job id in bytes.
+const JID_LEN: std::ops::RangeInclusive<usize> = 8..=256;
+/// Seconds for which a consumer may hold a job without `reserve_for`, as the protocol specifies.
+const DEFAULT_RESERVE_FOR_S: u64 = 1800;
 
-/// What a client says.
+/// A command of a client.
 #[derive(Debug)]
 pub enum Command {
-    /// Who it is; the first command of all.
+    /// Identifies the client; must be the first command.
     Hello(Hello),
-    /// Hands in a job.
+    /// Submits a job.
     Push(Box<Job>),
-    /// Asks for a job of one of these queues, the first the most urgent.
+    /// Requests a job from one of these queues, in order of priority.
     Fetch(Vec<String>),
-    /// Reports a job done.
+    /// Reports the job with this id as done.
     Ack(String),
-    /// Reports a job failed.
+    /// Reports the job with this id as failed.
     Fail(String),
-    /// Shows that a consumer lives.
+    /// Heartbeat of a consumer.
     Beat(Beat),
-    /// Asks for figures.
+    /// Requests the statistics of the server.
     Info,
-    /// Says farewell.
+    /// Ends the connection.
     End,
 }
 
-/// Who a client is.
+/// Identity of a client.
 #[derive(Debug, Deserialize)]
+#[serde(expecting = "an object with `v`")]
 pub struct Hello {
-    /// The version it speaks.
+    /// Version of the protocol that the client speaks.
     pub v: u32,
-    /// Its name, if it is a consumer.
+    /// Worker id, if the client is a consumer.
     pub wid: Option<String>,
 }
 
-/// A consumer's sign of life.
+/// Heartbeat of a consumer.
 #[derive(Debug, Deserialize)]
+#[serde(expecting = "an object with `wid`")]
 pub struct Beat {
-    /// Its name.
+    /// Worker id of the consumer.
     pub wid: String,
-    /// `quiet` or `terminate`, when it wants nothing new.
+    /// `quiet` or `terminate`, if the consumer accepts no more jobs.
     pub current_state: Option<String>,
 }
 
-/// A job: the fields that matter here, and the bytes that came.
+/// A job: the fields that this server uses, and its text as received.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id.
+    /// Job id.
     pub jid: String,
-    /// Its type, which names its class.
+    /// Type of the job, which is the name of its class.
     pub jobtype: String,
-    /// The queue it belongs to.
+    /// Queue that the job belongs to.
     pub queue: String,
-    /// How long a consumer may hold it.
+    /// How long a consumer may hold the job before it reports the result.
     pub reserve_for: Duration,
-    /// What only this dispatcher reads of it.
+    /// Fields of the `custom` hash for this dispatcher.
     pub custom: Custom,
-    /// The whole job, as it came.
+    /// The whole job, as received.
     pub raw: Bytes,
 }
 
-/// What a job's `custom` hash may say to this dispatcher; the rest is the consumers' business.
+/// The fields of a job's `custom` hash that this dispatcher reads; all others are left to the consumers.
 #[derive(Debug, Default, Deserialize)]
+#[serde(expecting = "an object in `custom`")]
 pub struct Custom {
-    /// What the job is about: jobs of one key go together.
+    /// Key of the data that the job works on: jobs with the same key are kept together.
     pub key: Option<String>,
-    /// Slots it takes.
+    /// Slots that the job occupies.
     pub slots: Option<f64>,
-    /// How long it is worth doing; otherwise its class says.
+    /// Time until the job's deadline; the default comes from its class.
     pub time_left_ms: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct JobFields {
+#[serde(expecting = "an object with `jid`, `jobtype` and `args`")]
+struct RawJob {
     jid: String,
     jobtype: String,
     #[allow(dead_code)]
@@ -98,127 +102,129 @@
 }
 
 #[derive(Deserialize)]
-struct Jid {
+#[serde(expecting = "an object with `jid`")]
+struct Report {
     jid: String,
 }
 
-/// A command that cannot be carried out; the connection goes on.
+/// A command that cannot be executed. The connection stays open.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum BadCommand {
-    /// Longer than is taken; what is left of it is passed over.
-    #[error("a command is longer than {MAX_FRAME} bytes")]
+pub enum CommandError {
+    /// Longer than [`MAX_COMMAND_LEN`]; the rest of the line is skipped.
+    #[error("a command is longer than {MAX_COMMAND_LEN} bytes")]
     TooLong,
-    /// Not a command of the protocol, or one that is not offered here.
+    /// Not a command of the protocol, or one that this server does not implement.
     #[error("{0:?} is not supported")]
     Unsupported(String),
-    /// What follows the verb makes no sense.
-    #[error("malformed {verb}: {why}")]
+    /// The arguments after the verb are invalid.
+    #[error("malformed {verb}: {reason}")]
     Malformed {
-        /// The verb.
+        /// Verb of the command.
         verb: &'static str,
-        /// What is wrong.
-        why: String,
+        /// Description of the error.
+        reason: String,
     },
 }
 
-fn json<T: DeserializeOwned>(verb: &'static str, text: &str) -> Result<T, BadCommand> {
-    serde_json::from_str(text).map_err(|e| BadCommand::Malformed { verb, why: e.to_string() })
+fn parse_json<T: DeserializeOwned>(verb: &'static str, text: &str) -> Result<T, CommandError> {
+    serde_json::from_str(text).map_err(|e| CommandError::Malformed { verb, reason: e.to_string() })
 }
 
 impl Command {
-    /// Reads a command from its line.
-    pub fn read(line: &str) -> Result<Self, BadCommand> {
+    /// Parses a command line.
+    pub fn parse(line: &str) -> Result<Self, CommandError> {
         let (verb, rest) = line.split_once(' ').unwrap_or((line, ""));
         let rest = rest.trim();
         Ok(match verb {
-            "HELLO" => Command::Hello(json("HELLO", rest)?),
-            "PUSH" => Command::Push(Box::new(Job::read(rest)?)),
+            "HELLO" => Command::Hello(parse_json("HELLO", rest)?),
+            "PUSH" => Command::Push(Box::new(Job::parse(rest)?)),
             "FETCH" => {
                 let queues: Vec<String> = rest.split_ascii_whitespace().map(str::to_owned).collect();
                 Command::Fetch(if queues.is_empty() { vec!["default".into()] } else { queues })
             }
-            "ACK" => Command::Ack(json::<Jid>("ACK", rest)?.jid),
-            "FAIL" => Command::Fail(json::<Jid>("FAIL", rest)?.jid),
-            "BEAT" => Command::Beat(json("BEAT", rest)?),
+            "ACK" => Command::Ack(parse_json::<Report>("ACK", rest)?.jid),
+            "FAIL" => Command::Fail(parse_json::<Report>("FAIL", rest)?.jid),
+            "BEAT" => Command::Beat(parse_json("BEAT", rest)?),
             "INFO" => Command::Info,
             "END" => Command::End,
             other => {
-                let shown = other.chars().take(32).collect();
-                return Err(BadCommand::Unsupported(shown));
+                let verb_start = other.chars().take(32).collect();
+                return Err(CommandError::Unsupported(verb_start));
             }
         })
     }
 }
 
 impl Job {
-    fn read(text: &str) -> Result<Self, BadCommand> {
-        let bad = |why: &str| BadCommand::Malformed { verb: "PUSH", why: why.into() };
-        let fields: JobFields = json("PUSH", text)?;
-        if !JID.contains(&fields.jid.len()) {
-            return Err(bad("jid: 8 to 256 characters"));
+    fn parse(text: &str) -> Result<Self, CommandError> {
+        let malformed = |reason: String| CommandError::Malformed { verb: "PUSH", reason };
+        let fields: RawJob = parse_json("PUSH", text)?;
+        if !JID_LEN.contains(&fields.jid.len()) {
+            let found = fields.jid.len();
+            return Err(malformed(format!("jid: found {found} bytes, expected 8 to 256")));
         }
         if fields.at.is_some_and(|at| !at.is_empty()) {
-            // Jobs here live in memory alone and for seconds: none can be kept for later.
-            return Err(bad("at: scheduled jobs are not taken"));
+            // Jobs are kept in memory only and for seconds, so they cannot be scheduled for later.
+            return Err(malformed("at: scheduled jobs are not supported".into()));
         }
         let custom = fields.custom.unwrap_or_default();
-        if custom.slots.is_some_and(|slots| !slots.is_finite() || slots < 0.0) {
-            return Err(bad("custom.slots: 0 or more"));
+        if let Some(slots) = custom.slots.filter(|slots| !slots.is_finite() || *slots < 0.0) {
+            return Err(malformed(format!("custom.slots: found {slots}, expected 0 or more")));
         }
         Ok(Job {
             jid: fields.jid,
             jobtype: fields.jobtype,
             queue: fields.queue.unwrap_or_else(|| "default".into()),
-            reserve_for: Duration::from_secs(fields.reserve_for.unwrap_or(RESERVE_FOR)),
+            reserve_for: Duration::from_secs(fields.reserve_for.unwrap_or(DEFAULT_RESERVE_FOR_S)),
             custom,
             raw: Bytes::copy_from_slice(text.as_bytes()),
         })
     }
 }
 
-/// What the server says.
+/// A reply of the server.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A short text.
+    /// Simple string.
     Simple(String),
-    /// A refusal or an error.
+    /// Error, sent with the prefix `ERR`.
     Error(String),
-    /// Bytes of any kind.
+    /// Bulk string of any bytes.
     Bulk(Bytes),
-    /// Nothing.
+    /// Null bulk string.
     Nil,
 }
 
 impl Reply {
-    /// The usual reply.
+    /// `OK`, the reply to a successful command without a result.
     pub fn ok() -> Self {
         Reply::Simple("OK".into())
     }
 }
 
-/// Cuts what comes into commands and words the replies.
+/// Decodes commands and encodes replies.
 pub struct Codec(LinesCodec);
 
 impl Default for Codec {
     fn default() -> Self {
-        Codec(LinesCodec::new_with_max_length(MAX_FRAME))
+        Codec(LinesCodec::new_with_max_length(MAX_COMMAND_LEN))
     }
 }
 
 impl Decoder for Codec {
-    type Item = Result<Command, BadCommand>;
+    type Item = Result<Command, CommandError>;
     type Error = io::Error;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> io::Result<Option<Self::Item>> {
         match self.0.decode(bytes) {
-            Ok(line) => Ok(line.map(|line| Command::read(&line))),
-            Err(LinesCodecError::MaxLineLengthExceeded) => Ok(Some(Err(BadCommand::TooLong))),
+            Ok(line) => Ok(line.map(|line| Command::parse(&line))),
+            Err(LinesCodecError::MaxLineLengthExceeded) => Ok(Some(Err(CommandError::TooLong))),
             Err(LinesCodecError::Io(error)) => Err(error),
         }
     }
 
     fn decode_eof(&mut self, bytes: &mut BytesMut) -> io::Result<Option<Self::Item>> {
-        // A line that the end cuts off is no command.
+        // An incomplete line at the end of the stream is not a command.
         self.decode(bytes)
     }
 }
--- a/crates/faktory/src/lib.rs
+++ b/crates/faktory/src/lib.rs
@@ -1,6 +1,6 @@
-//! The Faktory front: a work server for producers and consumers, over a core of its own.
+//! The Faktory front: a work server for producers and consumers, with a dispatcher core of its own.
 //!
-//! A PUSH is a request, a consumer is a log worker of the core's list, and a call attempt waits for that
+//! A PUSH is a request, a consumer is a log worker on the core's list, and a call attempt waits for that
 //! consumer's FETCH. ACK and FAIL end it.
 
 mod codec;
@@ -19,42 +19,43 @@
 
 /// The section `faktory` of the configuration.
 #[derive(Clone, Debug, Deserialize)]
+#[serde(expecting = "an object with the settings of the Faktory front")]
 pub struct FaktoryConfig {
-    /// Where producers and consumers connect.
+    /// Address at which producers and consumers connect.
     pub listen: SocketAddr,
-    /// The most connections of both kinds.
+    /// Maximum number of connections of producers and consumers together.
     pub max_connections: usize,
     /// How long a job waits for one consumer to fetch it before it is offered to another, in milliseconds.
     pub claim_ms: u64,
-    /// How long a consumer that lost its last connection may stay away before what it held counts as lost, in
-    /// milliseconds.
+    /// How long a consumer that lost its last connection may take to reconnect before the jobs that it holds count
+    /// as lost, in milliseconds.
     pub reconnect_ms: u64,
-    /// The pair that this daemon belongs to, if it does.
+    /// VRRP with the other daemons of a redundant pair; without it this daemon always accepts jobs.
     pub vrrp: Option<rookspoke_vrrp::VrrpConfig>,
 }
 
 impl FaktoryConfig {
-    fn claim(&self) -> Duration {
+    fn claim_timeout(&self) -> Duration {
         Duration::from_millis(self.claim_ms)
     }
 
-    fn reconnect(&self) -> Duration {
+    fn reconnect_timeout(&self) -> Duration {
         Duration::from_millis(self.reconnect_ms)
     }
 }
 
-/// The platform's settings as they apply here: the same classes and rules, but consumers announce
-/// themselves, tell when they start, and have neither zones nor kinds.
-fn settings(platform: &Settings) -> Settings {
-    let mut s = platform.clone();
-    (s.me, s.balancers) = (0, 1);
-    (s.zone, s.zones) = (registry::ZONE.into(), vec![registry::ZONE.into()]);
-    (s.discovery, s.reporting) = (Discovery::Automatic, Reporting::Answers);
-    (s.tells_start, s.limits.probes, s.limits.cancel) = (true, false, true);
-    // A consumer says nothing of a job that it runs.
-    s.progress = Span(0);
-    s.kinds.clear();
-    s.classes.iter_mut().for_each(|c| c.kind = None);
-    s.tenants.clear();
-    s
+/// Adapts the platform's settings to this front: classes and rules stay the same, but consumers announce
+/// themselves, report when they start a job, and have neither zones nor kinds.
+fn front_settings(platform: &Settings) -> Settings {
+    let mut settings = platform.clone();
+    (settings.me, settings.balancers) = (0, 1);
+    (settings.zone, settings.zones) = (registry::ZONE.into(), vec![registry::ZONE.into()]);
+    (settings.discovery, settings.reporting) = (Discovery::Automatic, Reporting::Answers);
+    (settings.tells_start, settings.limits.probes, settings.limits.cancel) = (true, false, true);
+    // Consumers send no progress reports about a running job.
+    settings.progress = Span(0);
+    settings.kinds.clear();
+    settings.classes.iter_mut().for_each(|class| class.kind = None);
+    settings.tenants.clear();
+    settings
 }
--- a/crates/faktory/src/registry.rs
+++ b/crates/faktory/src/registry.rs
@@ -1,7 +1,8 @@
-//! Who is there and who holds what: consumers, the jobs offered to them, and the reservations.
+//! Registry of consumers, of the jobs offered to them, and of their reservations.
 //!
 //! An offer is a call attempt that waits for its consumer's FETCH; a reservation is one that was fetched and
-//! waits for ACK or FAIL. Both end at most once: who takes one out of the registry decides how.
+//! waits for ACK or FAIL. Each ends at most once: removing it from the registry gives the right to settle its
+//! outcome.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,33 +14,34 @@
 use rookspoke_decisions::{Listing, LoadReport, Name, Outcome, Readiness, Time};
 use rookspoke_dispatch::AttemptResult;
 
-/// Consumers say nothing of where they are.
+/// Zone of every consumer: the protocol does not tell where a consumer runs.
 pub const ZONE: &str = "consumers";
 
-/// Numbers call attempts across all jobs.
-pub type Ticket = u64;
+/// Identifies a call attempt among those of all jobs, both as an offer and as a reservation.
+pub type OfferId = u64;
 
-/// A call attempt that waits for its consumer.
+/// A call attempt that waits for its consumer's FETCH.
 struct Offer {
-    ticket: Ticket,
+    id: OfferId,
     job: Arc<Job>,
     deadline: Time,
-    claimed: oneshot::Sender<Claimed>,
+    result: oneshot::Sender<OfferResult>,
 }
 
 /// How an offer ended.
-pub enum Claimed {
-    /// The consumer fetched it; its outcome follows.
+pub enum OfferResult {
+    /// The consumer fetched the job; the receiver gets the outcome of the attempt.
     Fetched(oneshot::Receiver<AttemptResult<()>>),
-    /// It never will.
-    Away(Outcome),
+    /// The job was not handed out; the attempt ends with this outcome.
+    NotFetched(Outcome),
 }
 
+/// A fetched job that waits for ACK or FAIL.
 struct Reservation {
-    ticket: Ticket,
+    id: OfferId,
     jid: String,
     wid: Name,
-    done: oneshot::Sender<AttemptResult<()>>,
+    result: oneshot::Sender<AttemptResult<()>>,
 }
 
 #[derive(Default)]
@@ -50,200 +52,209 @@
     draining: bool,
     listed: bool,
     offers: Vec<Offer>,
-    seen: Option<Instant>,
-    /// Since when it has had no connection.
-    left: Option<Instant>,
+    /// When it last connected, fetched or sent a heartbeat.
+    last_active: Option<Instant>,
+    /// When its last connection closed; `None` while it has one.
+    disconnected_at: Option<Instant>,
 }
 
 #[derive(Default)]
-struct Inside {
+struct State {
     consumers: BTreeMap<Name, Consumer>,
     reservations: Vec<Reservation>,
-    /// Taken out by hand, there or not.
+    /// Consumers that operators have banned, connected or not.
     banned: BTreeSet<Name>,
-    next: Ticket,
+    last_offer_id: OfferId,
 }
 
-/// Everything that consumers and the core share.
+/// State shared between the consumers' connections and the transport of the core.
 #[derive(Default)]
 pub struct ConsumerRegistry {
-    inside: Mutex<Inside>,
-    /// Wakes waiting FETCHes when something is offered or changes.
-    pub news: Notify,
+    state: Mutex<State>,
+    /// Wakes waiting FETCHes after a new offer or a change of a consumer's state.
+    pub changed: Notify,
 }
 
-/// What became of a FETCH.
+/// Result of a FETCH.
 pub enum Fetch {
-    /// A job, taken.
+    /// A job, which the consumer now holds.
     Job(Arc<Job>),
-    /// Nothing yet.
-    Nothing,
-    /// Nothing ever: the consumer drains.
+    /// No job at the moment.
+    Empty,
+    /// No job now or later: the consumer drains.
     Draining,
 }
 
 impl ConsumerRegistry {
-    fn lock(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Offers a job to a consumer.
-    pub fn offer(&self, wid: &Name, job: Arc<Job>, deadline: Time) -> (Ticket, oneshot::Receiver<Claimed>) {
-        let (claimed, claim) = oneshot::channel();
-        let mut inside = self.lock();
-        inside.next += 1;
-        let ticket = inside.next;
-        let banned = inside.banned.contains(wid);
-        match inside.consumers.get_mut(wid).filter(|c| c.listed && !c.draining && !banned) {
-            Some(c) if c.queues.contains(&job.queue) => {
-                c.offers.push(Offer { ticket, job, deadline, claimed });
-                self.news.notify_waiters();
+    /// Offers a job to a consumer. The receiver gets the result of the offer.
+    pub fn offer(
+        &self,
+        wid: &Name,
+        job: Arc<Job>,
+        deadline: Time,
+    ) -> (OfferId, oneshot::Receiver<OfferResult>) {
+        let (result, receiver) = oneshot::channel();
+        let mut state = self.lock();
+        state.last_offer_id += 1;
+        let id = state.last_offer_id;
+        let banned = state.banned.contains(wid);
+        match state.consumers.get_mut(wid).filter(|c| c.listed && !c.draining && !banned) {
+            Some(consumer) if consumer.queues.contains(&job.queue) => {
+                consumer.offers.push(Offer { id, job, deadline, result });
+                self.changed.notify_waiters();
             }
-            // It left or drains, or it does not serve this queue: nothing was handed out.
-            _ => drop(claimed.send(Claimed::Away(Outcome::NotSent))),
+            // The consumer left, drains, is banned or does not serve this queue: the job was not handed out.
+            _ => drop(result.send(OfferResult::NotFetched(Outcome::NotSent))),
         }
-        (ticket, claim)
+        (id, receiver)
     }
 
-    /// Takes consumers out by hand, and puts back whoever is not named. What they hold stays theirs.
-    pub fn ban(&self, banned: BTreeSet<Name>) {
-        let mut inside = self.lock();
-        let out = inside.consumers.iter_mut().filter(|(wid, _)| banned.contains(*wid));
-        out.for_each(|(_, consumer)| turn_away(consumer));
-        inside.banned = banned;
+    /// Replaces the set of banned consumers. Offers to them are rejected; jobs that they hold stay reserved.
+    pub fn set_banned(&self, banned: BTreeSet<Name>) {
+        let mut state = self.lock();
+        let banned_consumers = state.consumers.iter_mut().filter(|(wid, _)| banned.contains(*wid));
+        banned_consumers.for_each(|(_, consumer)| reject_offers(consumer));
+        state.banned = banned;
     }
 
-    /// Takes back an offer or a reservation, if it is still there.
-    pub fn withdraw(&self, ticket: Ticket) {
-        let mut inside = self.lock();
-        inside.reservations.retain(|r| r.ticket != ticket);
-        inside.consumers.values_mut().for_each(|c| c.offers.retain(|o| o.ticket != ticket));
+    /// Removes an offer or a reservation, if it still exists.
+    pub fn cancel(&self, id: OfferId) {
+        let mut state = self.lock();
+        state.reservations.retain(|reservation| reservation.id != id);
+        state.consumers.values_mut().for_each(|consumer| consumer.offers.retain(|offer| offer.id != id));
     }
 
-    /// A connection of this consumer opened.
-    pub fn join(&self, wid: &Name) {
-        let mut inside = self.lock();
-        let consumer = inside.consumers.entry(wid.clone()).or_default();
+    /// Counts a new connection of a consumer.
+    pub fn connected(&self, wid: &Name) {
+        let mut state = self.lock();
+        let consumer = state.consumers.entry(wid.clone()).or_default();
         consumer.connections += 1;
-        (consumer.seen, consumer.left) = (Some(Instant::now()), None);
+        (consumer.last_active, consumer.disconnected_at) = (Some(Instant::now()), None);
     }
 
-    /// A connection of this consumer closed. With the last one its offers go elsewhere at once; what it
-    /// holds stays its own for a while: it may come back with an ACK.
-    pub fn leave(&self, wid: &Name) -> Option<Listing> {
-        let mut inside = self.lock();
-        let consumer = inside.consumers.get_mut(wid)?;
+    /// Counts a closed connection of a consumer. With the last one its offers are rejected at once, so that
+    /// they go to others. Its reservations stay until it expires: it may reconnect and send ACK.
+    pub fn disconnected(&self, wid: &Name) -> Option<Listing> {
+        let mut state = self.lock();
+        let consumer = state.consumers.get_mut(wid)?;
         consumer.connections -= 1;
         if consumer.connections > 0 {
             return None;
         }
-        consumer.left = Some(Instant::now());
-        turn_away(consumer);
+        consumer.disconnected_at = Some(Instant::now());
+        reject_offers(consumer);
         std::mem::take(&mut consumer.listed).then(|| listing(wid, Readiness::Gone))
     }
 
-    /// A consumer asks for a job of one of `queues`, at `now`. Returns what became of it, and the entry with
-    /// which the consumer joins the list, if it was not on it.
+    /// Handles a FETCH of a consumer from `queues` at `now`. Returns its result, and the entry to add to the
+    /// list if the consumer was not on it.
     pub fn fetch(&self, wid: &Name, queues: &[String], now: Time) -> (Fetch, Option<Listing>) {
-        let mut inside = self.lock();
-        let inside = &mut *inside;
-        let Some(consumer) = inside.consumers.get_mut(wid) else { return (Fetch::Draining, None) };
-        consumer.seen = Some(Instant::now());
+        let mut state = self.lock();
+        let state = &mut *state;
+        let Some(consumer) = state.consumers.get_mut(wid) else { return (Fetch::Draining, None) };
+        consumer.last_active = Some(Instant::now());
         if consumer.draining {
             return (Fetch::Draining, None);
         }
         consumer.queues = queues.to_vec();
-        let joins =
+        let added =
             (!std::mem::replace(&mut consumer.listed, true)).then(|| listing(wid, Readiness::InService));
-        // Checked at the very moment of handing out: a job whose time is up, or whose attempt was given up,
-        // must not run.
-        consumer.offers.retain(|o| o.deadline > now && !o.claimed.is_closed());
-        let place = queues.iter().find_map(|q| consumer.offers.iter().position(|o| o.job.queue == *q));
-        let Some(place) = place else { return (Fetch::Nothing, joins) };
-        let Offer { ticket, job, claimed, .. } = consumer.offers.remove(place);
-        let (done, outcome) = oneshot::channel();
+        // Checked when the job is handed out: one past its deadline, or whose attempt was cancelled, must not run.
+        consumer.offers.retain(|offer| offer.deadline > now && !offer.result.is_closed());
+        let index = queues
+            .iter()
+            .find_map(|queue| consumer.offers.iter().position(|offer| offer.job.queue == *queue));
+        let Some(index) = index else { return (Fetch::Empty, added) };
+        let Offer { id, job, result: offer_result, .. } = consumer.offers.remove(index);
+        let (result, outcome) = oneshot::channel();
         let (jid, wid) = (job.jid.clone(), wid.clone());
-        inside.reservations.push(Reservation { ticket, jid, wid, done });
+        state.reservations.push(Reservation { id, jid, wid, result });
         // The receiver was open a moment ago, under the same lock.
-        let _ = claimed.send(Claimed::Fetched(outcome));
-        (Fetch::Job(job), joins)
+        let _ = offer_result.send(OfferResult::Fetched(outcome));
+        (Fetch::Job(job), added)
     }
 
-    /// Ends the reservation of this job; false if there is none, or none any more. A job belongs to its jid:
-    /// the report may come over any connection, though one of the consumer's own goes first.
-    pub fn end(&self, jid: &str, from: Option<&Name>, result: Result<(), Outcome>) -> bool {
-        let mut inside = self.lock();
-        let inside = &mut *inside;
-        let of = |r: &Reservation| r.jid == jid;
-        let own = inside.reservations.iter().position(|r| of(r) && from == Some(&r.wid));
-        let Some(place) = own.or_else(|| inside.reservations.iter().position(of)) else { return false };
-        let Reservation { wid, done, .. } = inside.reservations.remove(place);
-        let held = inside.reservations.iter().filter(|r| r.wid == wid).count() as f64;
-        let places = inside.consumers.get(&wid).map_or(0.0, |c| c.connections as f64);
-        // A consumer works on as many jobs as it has connections that fetch.
-        let load = LoadReport { free_slots: Some((places - held).max(0.0)), ..LoadReport::default() };
-        done.send(AttemptResult { result, load: Some(load) }).is_ok()
+    /// Ends the reservation of a job with the result that `from` reported; false if there is none or its
+    /// attempt has ended. A reservation belongs to the job's jid: any connection may report it, though a
+    /// reservation of the reporting consumer takes precedence.
+    pub fn complete(&self, jid: &str, from: Option<&Name>, result: Result<(), Outcome>) -> bool {
+        let mut state = self.lock();
+        let state = &mut *state;
+        let of_job = |reservation: &Reservation| reservation.jid == jid;
+        let own = state.reservations.iter().position(|r| of_job(r) && from == Some(&r.wid));
+        let Some(index) = own.or_else(|| state.reservations.iter().position(of_job)) else { return false };
+        let Reservation { wid, result: sender, .. } = state.reservations.remove(index);
+        let held = state.reservations.iter().filter(|r| r.wid == wid).count() as f64;
+        let connections = state.consumers.get(&wid).map_or(0.0, |c| c.connections as f64);
+        // A consumer works on as many jobs at a time as it has connections that fetch.
+        let load = LoadReport { free_slots: Some((connections - held).max(0.0)), ..LoadReport::default() };
+        sender.send(AttemptResult { result, load: Some(load) }).is_ok()
     }
 
-    /// A sign of life; `quiet` says that it wants nothing new. Returns the entry to list, if that changes
-    /// something.
-    pub fn beat(&self, wid: &Name, quiet: bool) -> Option<Listing> {
-        let mut inside = self.lock();
-        let consumer = inside.consumers.get_mut(wid)?;
-        consumer.seen = Some(Instant::now());
+    /// Records a heartbeat. `quiet` means that the consumer fetches no more jobs: it starts to drain. Returns
+    /// the changed list entry, if any.
+    pub fn heartbeat(&self, wid: &Name, quiet: bool) -> Option<Listing> {
+        let mut state = self.lock();
+        let consumer = state.consumers.get_mut(wid)?;
+        consumer.last_active = Some(Instant::now());
         if !quiet || std::mem::replace(&mut consumer.draining, true) {
             return None;
         }
-        turn_away(consumer);
-        self.news.notify_waiters();
+        reject_offers(consumer);
+        self.changed.notify_waiters();
         consumer.listed.then(|| listing(wid, Readiness::Draining))
     }
 
-    /// Forgets consumers that have been away since `left`, and takes those silent since `silent` off the
-    /// list. What the former held may have run.
-    pub fn sweep(&self, left: Instant, silent: Instant) -> Vec<Listing> {
-        let mut inside = self.lock();
-        let inside = &mut *inside;
+    /// Removes consumers without a connection since `disconnected_before`, and takes those inactive since
+    /// `inactive_before` off the list. The reservations of removed consumers end as lost, since their jobs
+    /// may have run.
+    pub fn expire(&self, disconnected_before: Instant, inactive_before: Instant) -> Vec<Listing> {
+        let mut state = self.lock();
+        let state = &mut *state;
         let mut changes = Vec::new();
-        let mut away = Vec::new();
-        inside.consumers.retain(|wid, c| {
-            if c.seen.is_some_and(|at| at < silent) && c.listed {
-                turn_away(c);
-                c.listed = false;
+        let mut removed = Vec::new();
+        state.consumers.retain(|wid, consumer| {
+            if consumer.last_active.is_some_and(|at| at < inactive_before) && consumer.listed {
+                reject_offers(consumer);
+                consumer.listed = false;
                 changes.push(listing(wid, Readiness::Gone));
             }
-            let gone = c.left.is_some_and(|at| at <= left);
-            if gone {
-                away.push(wid.clone());
+            let expired = consumer.disconnected_at.is_some_and(|at| at <= disconnected_before);
+            if expired {
+                removed.push(wid.clone());
             }
-            !gone
+            !expired
         });
-        let mut at = 0;
-        while at < inside.reservations.len() {
-            if away.contains(&inside.reservations[at].wid) {
-                let lost = inside.reservations.swap_remove(at);
-                let _ = lost.done.send(Outcome::ConnectionLost.into());
+        let mut index = 0;
+        while index < state.reservations.len() {
+            if removed.contains(&state.reservations[index].wid) {
+                let lost = state.reservations.swap_remove(index);
+                let _ = lost.result.send(Outcome::ConnectionLost.into());
             } else {
-                at += 1;
+                index += 1;
             }
         }
         changes
     }
 
-    /// The consumers that take jobs; how many jobs are offered, and how many reserved.
-    pub fn figures(&self) -> (Vec<String>, usize, usize) {
-        let inside = self.lock();
-        let takes = inside.consumers.iter().filter(|(_, c)| c.listed && !c.draining);
-        let listed = takes.map(|(wid, _)| wid.to_string()).collect();
-        let offers = inside.consumers.values().map(|c| c.offers.len()).sum();
-        (listed, offers, inside.reservations.len())
+    /// Returns the consumers that accept jobs, the number of offers and the number of reservations.
+    pub fn summary(&self) -> (Vec<String>, usize, usize) {
+        let state = self.lock();
+        let accepting = state.consumers.iter().filter(|(_, consumer)| consumer.listed && !consumer.draining);
+        let listed = accepting.map(|(wid, _)| wid.to_string()).collect();
+        let offered = state.consumers.values().map(|consumer| consumer.offers.len()).sum();
+        (listed, offered, state.reservations.len())
     }
 }
 
-/// What was only offered never ran.
-fn turn_away(consumer: &mut Consumer) {
+/// Ends all offers of a consumer as turned away: a job that was not fetched did not run.
+fn reject_offers(consumer: &mut Consumer) {
     for offer in consumer.offers.drain(..) {
-        let _ = offer.claimed.send(Claimed::Away(Outcome::TurnedAway));
+        let _ = offer.result.send(OfferResult::NotFetched(Outcome::TurnedAway));
     }
 }
 
@@ -253,7 +264,7 @@
         kind: "".into(),
         zone: ZONE.into(),
         cell: None,
-        // A consumer takes what it can by itself: it cannot be pushed over, cold or not.
+        // Consumers fetch jobs at their own pace and cannot be overloaded, so they need no slow start.
         started: None,
         weight: 1.0,
         readiness,
--- a/crates/faktory/src/server.rs
+++ b/crates/faktory/src/server.rs
@@ -1,4 +1,4 @@
-//! Connections of producers and consumers.
+//! The work server: connections of producers and consumers, and the records of their jobs.
 
 use std::collections::{HashMap, VecDeque};
 use std::future::Future;
@@ -13,55 +13,54 @@
 use tokio::time::timeout;
 use tokio_util::codec::Framed;
 
-use super::codec::{BadCommand, Beat, Codec, Command, Job, Reply, VERSION};
+use super::codec::{Beat, Codec, Command, CommandError, Job, Reply, VERSION};
 use super::registry::{ConsumerRegistry, Fetch};
-use super::transport::{deadline, Call, Consumers};
-use super::{settings, FaktoryConfig};
+use super::transport::{deadline, Call, ConsumerTransport};
+use super::{front_settings, FaktoryConfig};
 use rookspoke_decisions::{
     Ban, ClassId, Effect, ListScope, Listing, Name, Outcome, Settings, SettingsError, Span,
 };
 use rookspoke_dispatch::{request_span, Answer, Clock, Core, Counters, Handle, Limits, Submission};
 use rookspoke_guard::{ClientSocket, ConnectionLimit, Listener, Permit};
 
-/// A FETCH that finds nothing waits this long, as the specification has it.
-const FETCH_WAIT: Duration = Duration::from_secs(2);
-/// A client must say HELLO within `first`. Producers may keep their connections for as long as there is room,
-/// and consumers are looked after by the registry.
-const SILENT: rookspoke_guard::Timeouts = rookspoke_guard::Timeouts {
+/// How long a FETCH waits for a job before the reply is null, as the protocol specifies.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The connection limit bounds only the time until HELLO. Producers may keep their connections open until the limit is
+/// reached, and the registry expires inactive consumers.
+const CONNECTION_TIMEOUTS: rookspoke_guard::Timeouts = rookspoke_guard::Timeouts {
     first_request: Duration::from_secs(3),
     request: Duration::MAX,
     idle: Duration::MAX,
     response: Duration::MAX,
 };
-/// A client must read its replies within this time.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// A consumer must give a sign of life this often, as the specification has it.
-const SILENCE: Duration = Duration::from_secs(60);
-/// How often consumers are looked through.
-const SWEEP: Duration = Duration::from_millis(100);
-/// Ids of finished jobs that are remembered, so that one handed in again is known.
-const REMEMBERED: usize = 16_384;
-
-/// Once no job is open, replies that are being written have this long.
-const LAST_REPLIES: Duration = Duration::from_millis(500);
-
-/// How far a graceful shutdown is.
+/// How long sending a reply may take, which depends on the client reading it.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A consumer that shows no activity for this long leaves the list, as the protocol specifies.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(60);
+/// How often the registry is checked for consumers to expire.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of ids of finished jobs that are kept, to reject a job that is pushed again.
+const MAX_FINISHED_JIDS: usize = 16_384;
+/// How long connections may take to send their last replies once a shutdown has no open jobs left.
+const FINAL_REPLIES_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Phases of the server's life, up to its graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// It has not begun.
-    Open,
-    /// Nothing new is taken; what was taken is still handed out.
-    Closing,
-    /// No job is open: each connection ends with the reply that it owes.
-    Done,
+    /// No shutdown has begun.
+    Serving,
+    /// New jobs are rejected; accepted ones are still handed out.
+    Draining,
+    /// No job is open: each connection sends its pending reply and closes.
+    Drained,
 }
 
-/// Jobs that were taken, by id.
+/// Ids of pushed jobs, to reject duplicates.
 #[derive(Default)]
 struct Jids {
-    /// Whether a job is still open, for those that must never run twice and those open now.
+    /// Open jobs, and finished ones that must not run twice. The value tells whether the job is open.
     known: HashMap<String, bool>,
-    /// The finished ones, oldest first.
+    /// The finished ones of `known`, oldest first.
     finished: VecDeque<String>,
     open: usize,
 }
@@ -71,139 +70,149 @@
     handle: Handle<Call, ()>,
     clock: Clock,
     settings: Settings,
-    /// Each class's time where a job names none.
-    class_time: Vec<Duration>,
-    /// Whether new work is taken and handed out: whether this daemon is the master of its pair.
+    /// For each class, the time until the deadline of a job that does not set its own.
+    class_deadlines: Vec<Duration>,
+    /// Whether jobs are accepted and handed out, that is, whether this daemon is the master of its pair.
     active: watch::Receiver<bool>,
     phase: watch::Receiver<Phase>,
     jids: Mutex<Jids>,
-    open: watch::Sender<usize>,
+    /// Number of open jobs.
+    open_jobs: watch::Sender<usize>,
 }
 
-/// The work server.
+/// The work server, which accepts connections of producers and consumers.
 pub struct Server {
     shared: Arc<Shared>,
     limit: ConnectionLimit,
-    reconnect: Duration,
+    reconnect_timeout: Duration,
     phase: watch::Sender<Phase>,
 }
 
-/// What operators may ask of the work server.
+/// Operations on the work server for the operators' interface.
 #[derive(Clone)]
 pub struct OperatorHandle(Arc<Shared>);
 
 impl OperatorHandle {
-    /// Whether a consumer of this name takes part, or is taken out by hand.
+    /// Whether a consumer of this name is on the list or banned.
     pub async fn is_known(&self, wid: &str) -> bool {
         self.0.handle.is_known(wid).await
     }
 
-    /// Says all that is taken out by hand; nothing new is handed out there once this has ended.
+    /// Replaces the operators' bans. Banned consumers get no new jobs once this call has returned.
     pub async fn set_bans(&self, bans: Arc<[Ban]>) {
-        self.0.registry.ban(bans.iter().map(|ban| ban.worker.clone()).collect());
+        self.0.registry.set_banned(bans.iter().map(|ban| ban.worker.clone()).collect());
         self.0.handle.set_bans(bans).await;
     }
 }
 
-/// Why a connection ended.
-type Closed = io::Result<()>;
+/// Result of a connection: an error if it failed.
+type ConnectionResult = io::Result<()>;
 
 impl Server {
-    /// A server whose core runs as the returned future; `active` tells whether new work is accepted.
+    /// Creates a server, and the future that runs its core. New jobs are accepted while `active` is true.
     pub fn new(
         config: &FaktoryConfig,
         platform: &Settings,
-        class_time: Vec<Duration>,
+        class_deadlines: Vec<Duration>,
         seed: u64,
         active: watch::Receiver<bool>,
     ) -> (Self, impl Future<Output = Result<(), SettingsError>> + Send + 'static) {
-        let settings = settings(platform);
+        let settings = front_settings(platform);
         let limits = Limits { queue: 4 * config.max_connections.max(64), open_requests: 4096 };
         let (handle, core) = Core::new(limits, settings.classes.iter().map(|class| &class.name));
         let (registry, clock) = (Arc::new(ConsumerRegistry::default()), Clock::start());
-        let transport =
-            Consumers { registry: registry.clone(), handle: handle.clone(), clock, claim: config.claim() };
+        let transport = ConsumerTransport {
+            registry: registry.clone(),
+            handle: handle.clone(),
+            clock,
+            claim_timeout: config.claim_timeout(),
+        };
         let core = core.run(settings.clone(), seed, clock, transport);
-        let (tell_phase, phase) = watch::channel(Phase::Open);
+        let (phase_sender, phase) = watch::channel(Phase::Serving);
         let jids = Mutex::default();
-        let open = watch::Sender::new(0);
-        let shared = Shared { registry, handle, clock, settings, class_time, active, phase, jids, open };
-        let limit = ConnectionLimit::new(config.max_connections, SILENT);
-        (Server { shared: Arc::new(shared), limit, reconnect: config.reconnect(), phase: tell_phase }, core)
+        let open_jobs = watch::Sender::new(0);
+        let shared =
+            Shared { registry, handle, clock, settings, class_deadlines, active, phase, jids, open_jobs };
+        let limit = ConnectionLimit::new(config.max_connections, CONNECTION_TIMEOUTS);
+        let reconnect_timeout = config.reconnect_timeout();
+        (Server { shared: Arc::new(shared), limit, reconnect_timeout, phase: phase_sender }, core)
     }
 
-    /// What operators may ask of it.
+    /// The handle for the operators' interface.
     pub fn operator_handle(&self) -> OperatorHandle {
         OperatorHandle(self.shared.clone())
     }
 
-    /// The running totals.
+    /// The counters of this front.
     pub fn counters(&self) -> Arc<Counters> {
         self.shared.handle.counters().clone()
     }
 
-    /// Serves until `stop` ends; then takes no new jobs, and ends when those taken have their answers.
+    /// Serves until `stop` completes. Then rejects new jobs, and returns once all accepted ones are finished.
     pub async fn serve(self, listener: TcpListener, stop: impl Future<Output = ()>) {
         let mut connections = JoinSet::new();
         let mut listener = Listener::new(listener, self.limit.clone());
-        let mut sweep = tokio::time::interval(SWEEP);
-        let mut open = self.shared.open.subscribe();
-        let finish = async {
+        let mut expiry = tokio::time::interval(EXPIRY_INTERVAL);
+        let mut open_jobs = self.shared.open_jobs.subscribe();
+        let drained = async {
             stop.await;
-            self.phase.send_replace(Phase::Closing);
-            // The sender lives as long as `self`.
-            let _ = open.wait_for(|open| *open == 0).await;
+            self.phase.send_replace(Phase::Draining);
+            // Cannot fail: `self` keeps the sender alive.
+            let _ = open_jobs.wait_for(|open| *open == 0).await;
         };
-        let mut finish = std::pin::pin!(finish);
+        let mut drained = std::pin::pin!(drained);
         loop {
             tokio::select! {
-                (socket, permit) = listener.accept() => self.open(socket, permit, &mut connections),
+                (socket, permit) = listener.accept() => self.spawn_connection(socket, permit, &mut connections),
                 Some(_) = connections.join_next() => {}
-                _ = sweep.tick() => {
+                _ = expiry.tick() => {
                     let ago = |time| Instant::now().checked_sub(time);
-                    if let (Some(left), Some(silent)) = (ago(self.reconnect), ago(SILENCE)) {
-                        let changes = self.shared.registry.sweep(left, silent);
-                        self.shared.list(changes).await;
+                    let limits = (ago(self.reconnect_timeout), ago(HEARTBEAT_TIMEOUT));
+                    if let (Some(disconnected_before), Some(inactive_before)) = limits {
+                        let changes = self.shared.registry.expire(disconnected_before, inactive_before);
+                        self.shared.update_list(changes).await;
                     }
                 }
-                () = &mut finish => break,
+                () = &mut drained => break,
             }
         }
         drop(listener);
-        self.phase.send_replace(Phase::Done);
-        let last = async { while connections.join_next().await.is_some() {} };
-        let _ = timeout(LAST_REPLIES, last).await;
+        self.phase.send_replace(Phase::Drained);
+        let all_closed = async { while connections.join_next().await.is_some() {} };
+        let _ = timeout(FINAL_REPLIES_TIMEOUT, all_closed).await;
     }
 
-    fn open(&self, socket: ClientSocket, permit: Permit, connections: &mut JoinSet<()>) {
+    fn spawn_connection(&self, socket: ClientSocket, permit: Permit, connections: &mut JoinSet<()>) {
         let shared = self.shared.clone();
         connections.spawn(async move {
             let frames = Framed::new(socket, Codec::default());
-            let mut connection = Connection { shared, frames, next: None, wid: None, permit: permit.clone() };
-            let ended = tokio::select! {
-                // The connection first: what has come saves it from having to leave.
+            let mut connection =
+                Connection { shared, frames, read_ahead: None, wid: None, permit: permit.clone() };
+            let result = tokio::select! {
+                // Polls the connection first: a command that has arrived keeps it from being closed.
                 biased;
-                ended = connection.serve() => ended,
+                result = connection.serve() => result,
                 () = permit.close_requested() => {
                     connection.shared.handle.counters().closed.increment();
                     Ok(())
                 }
             };
-            if let Err(error) = ended {
+            if let Err(error) = result {
                 connection.shared.handle.counters().malformed.increment();
-                tracing::debug!("a Faktory connection ended: {error}");
-                let _ = timeout(PATIENCE, connection.frames.send(Reply::Error(error.to_string()))).await;
+                tracing::debug!("Faktory connection failed: {error}");
+                let _ = timeout(REPLY_TIMEOUT, connection.frames.send(Reply::Error(error.to_string()))).await;
             }
             if let Some(wid) = &connection.wid {
-                let change = connection.shared.registry.leave(wid);
-                connection.shared.list(change).await;
+                let change = connection.shared.registry.disconnected(wid);
+                connection.shared.update_list(change).await;
             }
         });
     }
 }
 
 impl Shared {
-    async fn list(&self, changes: impl IntoIterator<Item = Listing>) {
+    /// Passes changed entries of the list on to the core.
+    async fn update_list(&self, changes: impl IntoIterator<Item = Listing>) {
         let entries: Arc<[Listing]> = changes.into_iter().collect();
         if !entries.is_empty() {
             self.handle.update_list(ListScope::Changes, entries).await;
@@ -214,7 +223,7 @@
         self.jids.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a job's record; false if it is known already.
+    /// Registers an open job; false if its id is known already.
     fn register(&self, jid: &str) -> bool {
         let mut jids = self.jids();
         if jids.known.contains_key(jid) {
@@ -222,17 +231,17 @@
         }
         jids.known.insert(jid.to_owned(), true);
         jids.open += 1;
-        self.open.send_replace(jids.open);
+        self.open_jobs.send_replace(jids.open);
         true
     }
 
-    /// Closes a job's record; one that may have run and must not run twice stays known for long.
+    /// Closes a job. With `remember`, its id stays known, since the job may have run and must not run twice.
     fn finish(&self, jid: &str, remember: bool) {
         let mut jids = self.jids();
         if remember {
             jids.known.insert(jid.to_owned(), false);
             jids.finished.push_back(jid.to_owned());
-            if jids.finished.len() > REMEMBERED {
+            if jids.finished.len() > MAX_FINISHED_JIDS {
                 let oldest = jids.finished.pop_front();
                 oldest.map(|oldest| jids.known.remove(&oldest));
             }
@@ -240,49 +249,49 @@
             jids.known.remove(jid);
         }
         jids.open -= 1;
-        self.open.send_replace(jids.open);
+        self.open_jobs.send_replace(jids.open);
     }
 }
 
-/// A job's record, closed when the job's final answer is there or nobody waits for it any more.
-struct Record {
+/// An open job. Dropping it closes the job: its final answer has arrived, or nobody waits for it any more.
+struct OpenJob {
     shared: Arc<Shared>,
     job: Arc<Job>,
-    /// Its class must never run twice.
-    once: bool,
+    /// Its class must not run twice.
+    at_most_once: bool,
     accepted: bool,
 }
 
-impl Drop for Record {
+impl Drop for OpenJob {
     fn drop(&mut self) {
-        self.shared.finish(&self.job.jid, self.once && self.accepted);
+        self.shared.finish(&self.job.jid, self.at_most_once && self.accepted);
     }
 }
 
-/// Ends once no job is open in a shutdown, or the server is gone.
-async fn is_done(phase: &mut watch::Receiver<Phase>) {
-    let _ = phase.wait_for(|phase| *phase == Phase::Done).await;
+/// Completes once a shutdown has no open jobs left, or the server has been dropped.
+async fn drained(phase: &mut watch::Receiver<Phase>) {
+    let _ = phase.wait_for(|phase| *phase == Phase::Drained).await;
 }
 
 struct Connection {
     shared: Arc<Shared>,
     frames: Framed<ClientSocket, Codec>,
-    /// A command that came while another was waiting.
-    next: Option<Option<io::Result<Result<Command, BadCommand>>>>,
+    /// Command that was read while an earlier command was waiting.
+    read_ahead: Option<Option<io::Result<Result<Command, CommandError>>>>,
     wid: Option<Name>,
-    // Behind the socket: it is free only once that is closed.
+    // Declared after the socket, so that the slot is released only once the socket is closed.
     permit: Permit,
 }
 
 impl Connection {
-    async fn serve(&mut self) -> Closed {
+    async fn serve(&mut self) -> ConnectionResult {
         self.reply(Reply::Simple(format!("HI {{\"v\":{VERSION}}}"))).await?;
         match self.frames.next().await {
             Some(Ok(Ok(Command::Hello(hello)))) if hello.v == VERSION => {
                 self.permit.request_received();
                 self.wid = hello.wid.filter(|wid| !wid.is_empty()).map(Name::from);
                 if let Some(wid) = &self.wid {
-                    self.shared.registry.join(wid);
+                    self.shared.registry.connected(wid);
                 }
                 self.reply(Reply::ok()).await?;
             }
@@ -290,14 +299,15 @@
             None => return Ok(()),
             _ => {
                 self.shared.handle.counters().malformed.increment();
-                return self.reply(Reply::Error(format!("HELLO with v {VERSION} comes first"))).await;
+                let error = format!("expected HELLO with v {VERSION} as the first command");
+                return self.reply(Reply::Error(error)).await;
             }
         }
         loop {
-            let command = match self.next.take() {
-                Some(next) => next,
+            let command = match self.read_ahead.take() {
+                Some(command) => command,
                 None => {
-                    // A consumer may hold jobs, and is there to be given more.
+                    // Only producers count as idle: a consumer may hold jobs and waits for more.
                     if self.wid.is_none() {
                         self.permit.response_sent();
                     }
@@ -305,7 +315,7 @@
                     tokio::select! {
                         biased;
                         command = self.frames.next() => command,
-                        () = is_done(&mut phase) => return Ok(()),
+                        () = drained(&mut phase) => return Ok(()),
                     }
                 }
             };
@@ -313,14 +323,14 @@
             let reply = match command {
                 None => return Ok(()),
                 Some(Err(error)) => return Err(error),
-                Some(Ok(Err(bad))) => {
+                Some(Ok(Err(error))) => {
                     self.shared.handle.counters().malformed.increment();
-                    Reply::Error(bad.to_string())
+                    Reply::Error(error.to_string())
                 }
                 Some(Ok(Ok(Command::End))) => return Ok(()),
-                Some(Ok(Ok(command))) => match self.carry_out(command).await {
+                Some(Ok(Ok(command))) => match self.execute(command).await {
                     Some(reply) => reply,
-                    // The client left while it waited.
+                    // The client disconnected while it waited.
                     None => return Ok(()),
                 },
             };
@@ -328,64 +338,65 @@
         }
     }
 
-    async fn reply(&mut self, reply: Reply) -> Closed {
-        // A client that does not read must not hold its place for ever.
-        let sent = timeout(PATIENCE, self.frames.send(reply)).await;
+    async fn reply(&mut self, reply: Reply) -> ConnectionResult {
+        // A client that does not read must not occupy its connection forever.
+        let sent = timeout(REPLY_TIMEOUT, self.frames.send(reply)).await;
         sent.unwrap_or_else(|e| Err(e.into()))
     }
 
-    async fn carry_out(&mut self, command: Command) -> Option<Reply> {
+    async fn execute(&mut self, command: Command) -> Option<Reply> {
         Some(match command {
-            Command::Hello(_) => Reply::Error("HELLO was said already".into()),
+            Command::Hello(_) => Reply::Error("HELLO was sent before on this connection".into()),
             Command::Push(job) => return self.push(*job).await,
             Command::Fetch(queues) => return self.fetch(&queues).await,
-            Command::Ack(jid) => self.end(&jid, Ok(())),
-            // A job reported failed may all the same have finished.
-            Command::Fail(jid) => self.end(&jid, Err(Outcome::Error)),
-            Command::Beat(beat) => self.beat(&beat).await,
+            Command::Ack(jid) => self.complete(&jid, Ok(())),
+            // A job that is reported as failed may still have taken effect.
+            Command::Fail(jid) => self.complete(&jid, Err(Outcome::Error)),
+            Command::Beat(beat) => self.heartbeat(&beat).await,
             Command::Info => Reply::Bulk(self.info().into()),
             Command::End => return None,
         })
     }
 
-    /// Ends only when the client is gone. A command that comes early is kept for later; what lies behind it is not
-    /// read, but the socket still tells of its end.
-    async fn gone(&mut self) {
-        let end = self.frames.get_ref().handle();
-        if self.next.is_none() {
+    /// Completes only when the client has disconnected. At most one command is read ahead and kept for later; anything
+    /// after it is not read, but the end of the connection is still detected.
+    async fn client_disconnected(&mut self) {
+        let socket = self.frames.get_ref().handle();
+        if self.read_ahead.is_none() {
             match self.frames.next().await {
                 None | Some(Err(_)) => return,
-                early => self.next = Some(early),
+                command => self.read_ahead = Some(command),
             }
         }
-        end.closed_by_client().await;
+        socket.closed_by_client().await;
     }
 
     async fn push(&mut self, job: Job) -> Option<Reply> {
         let shared = self.shared.clone();
-        let refuse = |why: String| {
+        let reject = |reason: String| {
             shared.handle.counters().turned_down.increment();
-            Some(Reply::Error(why))
+            Some(Reply::Error(reason))
         };
-        if *shared.phase.borrow() > Phase::Open {
-            return refuse("this server is about to end: push elsewhere".into());
+        if *shared.phase.borrow() > Phase::Serving {
+            return reject("this server is shutting down: push elsewhere".into());
         }
         if !*shared.active.borrow() {
-            return refuse("this server is a backup: push to the master".into());
+            return reject("this server is a backup: push to the master".into());
         }
         let classes = &shared.settings.classes;
         let Some(class) = classes.iter().position(|c| c.name.as_ref() == job.jobtype) else {
-            return refuse(format!("jobtype {:?} is not known", job.jobtype));
+            return reject(format!("jobtype {:?} is not known", job.jobtype));
         };
         if !shared.register(&job.jid) {
-            return refuse(format!("job {} was pushed before", job.jid));
+            return reject(format!("job {} was pushed before", job.jid));
         }
-        let once = classes[class].effect == Effect::Unsafe;
+        let at_most_once = classes[class].effect == Effect::Unsafe;
         let job = Arc::new(job);
-        let mut record = Record { shared: shared.clone(), job: job.clone(), once, accepted: false };
-        let time = job.custom.time_left_ms.map_or(shared.class_time[class], Duration::from_millis);
+        let mut open_job =
+            OpenJob { shared: shared.clone(), job: job.clone(), at_most_once, accepted: false };
+        let time_left = job.custom.time_left_ms.map_or(shared.class_deadlines[class], Duration::from_millis);
         let (accept, accepted) = oneshot::channel();
-        let ask = Submission {
+        let submission = Submission {
             class: ClassId(class),
             tenant: None,
             key: job.custom.key.as_deref().map(Name::from),
@@ -393,37 +404,37 @@
             work: None,
             slots: job.custom.slots.unwrap_or(1.0),
             memory: 0.0,
-            deadline: deadline(shared.clock.now(), time),
+            deadline: deadline(shared.clock.now(), time_left),
             call: Call::new(job.clone(), accept),
             span: request_span(&job.jid, &job.jobtype),
         };
         let handle = shared.handle.clone();
-        let mut answer = Box::pin(async move { handle.submit(ask).await });
+        let mut answer = Box::pin(async move { handle.submit(submission).await });
         tokio::select! {
-            // The answer goes first: with both there, the job is over.
+            // Polls the answer first: if both are ready, the job is finished.
             biased;
             answer = &mut answer => {
-                // Only what was refused may be pushed again.
-                record.accepted = !matches!(answer, Answer::Refused { .. });
+                // Only a refused job may be pushed again.
+                open_job.accepted = !matches!(answer, Answer::Refused { .. });
                 return Some(match answer {
                     Answer::Served(()) => Reply::ok(),
                     Answer::Refused { retry_after } => Reply::Error(unavailable(retry_after)),
                     Answer::Failed => Reply::Error(format!("job {} failed", job.jid)),
                 });
             }
-            // A producer that never heard of it may push it again: the job goes no further.
-            () = self.gone() => return None,
-            told = accepted => if told.is_err() {
-                return Some(Reply::Error("the core has ended".into()));
+            // A producer without a reply may push the job again, so the request is dropped.
+            () = self.client_disconnected() => return None,
+            notified = accepted => if notified.is_err() {
+                return Some(Reply::Error("the dispatcher core has stopped".into()));
             },
         }
-        record.accepted = true;
+        open_job.accepted = true;
         tokio::spawn(async move {
             let answer = answer.await;
             if answer != Answer::Served(()) {
-                tracing::warn!("job {} was accepted and ended unserved: {answer:?}", record.job.jid);
+                tracing::warn!("job {} was accepted but not served: {answer:?}", open_job.job.jid);
             }
-            drop(record);
+            drop(open_job);
         });
         Some(Reply::ok())
     }
@@ -433,54 +444,54 @@
         let Some(wid) = self.wid.clone() else {
             return Some(Reply::Error("only a client whose HELLO has a wid may FETCH".into()));
         };
-        let patience = tokio::time::sleep(FETCH_WAIT);
-        let mut patience = std::pin::pin!(patience);
+        let fetch_timeout = tokio::time::sleep(FETCH_TIMEOUT);
+        let mut fetch_timeout = std::pin::pin!(fetch_timeout);
         let mut phase = shared.phase.clone();
         loop {
-            // One that is about to end is no master any more, but must still hand out what it took.
-            if !*shared.active.borrow() && *shared.phase.borrow() == Phase::Open {
+            // A server that shuts down is no longer the master, but must still hand out the jobs that it accepted.
+            if !*shared.active.borrow() && *shared.phase.borrow() == Phase::Serving {
                 return Some(Reply::Error("this server is a backup: fetch from the master".into()));
             }
-            let news = shared.registry.news.notified();
-            let mut news = std::pin::pin!(news);
-            // From here on no news is missed, whatever happens between the look and the wait.
-            news.as_mut().enable();
-            let (found, joins) = shared.registry.fetch(&wid, queues, shared.clock.now());
-            shared.list(joins).await;
-            match found {
+            let changed = shared.registry.changed.notified();
+            let mut changed = std::pin::pin!(changed);
+            // Registers before the registry is read, so that no change between the read and the wait is missed.
+            changed.as_mut().enable();
+            let (fetch, added) = shared.registry.fetch(&wid, queues, shared.clock.now());
+            shared.update_list(added).await;
+            match fetch {
                 Fetch::Job(job) => return Some(Reply::Bulk(job.raw.clone())),
                 Fetch::Draining => return Some(Reply::Nil),
-                Fetch::Nothing => {}
+                Fetch::Empty => {}
             }
             tokio::select! {
-                () = news => {}
-                () = &mut patience => return Some(Reply::Nil),
-                () = is_done(&mut phase) => return Some(Reply::Nil),
-                // Nothing may be handed to a connection that is gone.
-                () = self.gone() => return None,
+                () = changed => {}
+                () = &mut fetch_timeout => return Some(Reply::Nil),
+                () = drained(&mut phase) => return Some(Reply::Nil),
+                // No job may be handed to a connection that is closed.
+                () = self.client_disconnected() => return None,
             }
         }
     }
 
-    fn end(&self, jid: &str, result: Result<(), Outcome>) -> Reply {
-        if !self.shared.registry.end(jid, self.wid.as_ref(), result) {
-            // The job's outcome is settled; the consumer need not hear of it again.
+    fn complete(&self, jid: &str, result: Result<(), Outcome>) -> Reply {
+        if !self.shared.registry.complete(jid, self.wid.as_ref(), result) {
+            // The job's outcome is already settled, which makes no difference to the consumer.
             self.shared.handle.counters().late_reports.increment();
         }
         Reply::ok()
     }
 
-    async fn beat(&self, beat: &Beat) -> Reply {
+    async fn heartbeat(&self, beat: &Beat) -> Reply {
         let quiet = matches!(beat.current_state.as_deref(), Some("quiet" | "terminate"));
-        let change = self.shared.registry.beat(&Name::from(beat.wid.as_str()), quiet);
-        self.shared.list(change).await;
+        let change = self.shared.registry.heartbeat(&Name::from(beat.wid.as_str()), quiet);
+        self.shared.update_list(change).await;
         Reply::ok()
     }
 
     fn info(&self) -> String {
-        let (listed, offered, reserved) = self.shared.registry.figures();
+        let (listed, offered, reserved) = self.shared.registry.summary();
         let counters = self.shared.handle.counters();
-        let figures = serde_json::json!({
+        let info = serde_json::json!({
             "server": {"faktory_version": VERSION, "description": "rookspoke"},
             "faktory": {
                 "listed": listed, "offered": offered, "reserved": reserved,
@@ -490,13 +501,14 @@
                 "late_reports": counters.late_reports.get(), "malformed": counters.malformed.get(),
             },
         });
-        figures.to_string()
+        info.to_string()
     }
 }
 
+/// Error text of a refused job.
 fn unavailable(retry_after: Option<Span>) -> String {
     match retry_after {
-        Some(span) => format!("unavailable: come back in {} s", span.secs()),
-        None => "unavailable: come back later".into(),
+        Some(span) => format!("unavailable: retry in {} s", span.secs()),
+        None => "unavailable: retry later".into(),
     }
 }
--- a/crates/faktory/src/transport.rs
+++ b/crates/faktory/src/transport.rs
@@ -8,15 +8,15 @@
 use tokio::time::timeout;
 
 use super::codec::Job;
-use super::registry::{Claimed, ConsumerRegistry, Ticket};
+use super::registry::{ConsumerRegistry, OfferId, OfferResult};
 use rookspoke_decisions::{Name, Note, Outcome, Time};
 use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Handle, ProbeResult, Transport};
 
-/// A job on its way through the core.
+/// A job as the core passes it to the transport.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub job: Arc<Job>,
-    /// Told once, when the first call attempt is made: from then on the job is accepted.
+    /// Notified once, by the first call attempt: from then on the job is accepted.
     accepted: Arc<Mutex<Option<oneshot::Sender<()>>>>,
 }
 
@@ -26,31 +26,32 @@
     }
 
     fn accept(&self) {
-        let told = self.accepted.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take();
-        if let Some(told) = told {
-            let _ = told.send(());
+        let sender = self.accepted.lock().unwrap_or_else(std::sync::PoisonError::into_inner).take();
+        if let Some(sender) = sender {
+            let _ = sender.send(());
         }
     }
 }
 
-pub struct Consumers {
+/// Transport of the core that hands jobs out to consumers.
+pub struct ConsumerTransport {
     pub registry: Arc<ConsumerRegistry>,
     pub handle: Handle<Call, ()>,
     pub clock: Clock,
-    /// How long an offer waits for its consumer.
-    pub claim: Duration,
+    /// How long an offer waits for its consumer's FETCH.
+    pub claim_timeout: Duration,
 }
 
-/// Takes the offer or the reservation back when its attempt is called off.
-struct Withdraw(Arc<ConsumerRegistry>, Ticket);
+/// Cancels the offer or the reservation when its attempt ends or is cancelled.
+struct CancelOnDrop(Arc<ConsumerRegistry>, OfferId);
 
-impl Drop for Withdraw {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        self.0.withdraw(self.1);
+        self.0.cancel(self.1);
     }
 }
 
-impl Transport for Consumers {
+impl Transport for ConsumerTransport {
     type Call = Call;
     type Reply = ();
 
@@ -58,26 +59,26 @@
         &mut self,
         attempt: CallAttempt<Call>,
     ) -> impl Future<Output = AttemptResult<()>> + Send + 'static {
-        let (registry, handle, clock, claim) =
-            (self.registry.clone(), self.handle.clone(), self.clock, self.claim);
+        let (registry, handle) = (self.registry.clone(), self.handle.clone());
+        let (clock, claim_timeout) = (self.clock, self.claim_timeout);
         async move {
             let CallAttempt { request, attempt: number, worker, deadline, call, .. } = attempt;
             call.accept();
             let reserve_for = call.job.reserve_for;
-            let (ticket, claimed) = registry.offer(&worker, call.job, deadline);
-            let _withdraw = Withdraw(registry.clone(), ticket);
-            let patience = claim.min(clock.until(deadline));
-            let outcome = match timeout(patience, claimed).await {
-                Ok(Ok(Claimed::Fetched(outcome))) => outcome,
-                Ok(Ok(Claimed::Away(why))) => return why.into(),
-                // Nobody fetched it, so it never ran.
+            let (offer_id, offer_result) = registry.offer(&worker, call.job, deadline);
+            let _cancel = CancelOnDrop(registry.clone(), offer_id);
+            let fetch_timeout = claim_timeout.min(clock.until(deadline));
+            let outcome = match timeout(fetch_timeout, offer_result).await {
+                Ok(Ok(OfferResult::Fetched(outcome))) => outcome,
+                Ok(Ok(OfferResult::NotFetched(outcome))) => return outcome.into(),
+                // The job was not fetched, so it never ran.
                 Ok(Err(_)) | Err(_) => return Outcome::TurnedAway.into(),
             };
             handle.counters().written.increment();
             handle.report_progress(request, number, Note::Started).await;
             match timeout(reserve_for.min(clock.until(deadline)), outcome).await {
-                Ok(Ok(ended)) => ended,
-                // Its consumer had it and said nothing: it may have run.
+                Ok(Ok(result)) => result,
+                // The consumer held the job and reported nothing: it may have run.
                 Ok(Err(_)) => Outcome::ConnectionLost.into(),
                 Err(_) => Outcome::NoAnswer.into(),
             }
@@ -88,14 +89,13 @@
         std::future::ready(ProbeResult { outcome: Outcome::NotSent, load: None })
     }
 
-    // Consumers come and go by themselves: there is nothing to ask.
+    // Consumers register themselves by connecting: there is no list to fetch and no connection to close.
     fn watch_list(&mut self) {}
     fn fetch_list(&mut self) {}
     fn close_idle(&mut self, _: &Name) {}
 }
 
-/// When a job that gives itself so long is over.
-pub fn deadline(now: Time, given: Duration) -> Time {
-    // Longer than a day is as good as a day.
-    now + rookspoke_decisions::Span(given.min(Duration::from_secs(86_400)).as_micros() as i64)
+/// The deadline of a job that may take `time_left` from `now`. A time longer than a day is treated as a day.
+pub fn deadline(now: Time, time_left: Duration) -> Time {
+    now + rookspoke_decisions::Span(time_left.min(Duration::from_secs(86_400)).as_micros() as i64)
 }
