--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -4,8 +4,8 @@
 //!
 //! `ROOKSPOKE_FAULTS` holds the schedule, `SEED CALL=ERROR:PERCENT ...`, for example
 //! `7 receive=EINTR:20 accept=ECONNABORTED:50`. `clock=SECONDS:PERIOD_MS` shifts the wall clock by `SECONDS` during
-//! every other interval of `PERIOD_MS`, or all the time if the period is 0. If the schedule cannot be parsed, the process
-//! exits with status 3 and one line on standard error.
+//! every other interval of `PERIOD_MS`, or all the time if the period is 0. If the schedule cannot be parsed, the
+//! process exits with status 3 and one line on standard error.
 //!
 //! `ROOKSPOKE_FAULTS_LOG` names a file to which one line, `CALL ERROR`, is appended for each injected fault. A test
 //! should check this file: a run in which no fault was injected proves nothing.
@@ -58,8 +58,8 @@
     let draw_number = injector.next_draw.fetch_add(1, Ordering::Relaxed);
     let (fault, line) = injector.schedule.draw(call, draw_number)?;
     if let Some(log) = injector.log {
-        // SAFETY: `line` is a string slice that lives through the call, so its pointer is valid for `line.len()` bytes.
-        // The result is ignored: a fault whose line cannot be written is missing from the log, and tests don't count it.
+        // SAFETY: `line` is a string slice that lives through the call, so its pointer is valid for that length.
+        // The result is ignored: a fault whose line cannot be written is missing from the log, so tests don't count it.
         unsafe { libc::syscall(libc::SYS_write, log, line.as_ptr(), line.len()) };
     }
     Some(fault)
--- a/crates/faults/src/schedule.rs
+++ b/crates/faults/src/schedule.rs
@@ -59,8 +59,8 @@
 pub enum Fault {
     /// Returns -1 with this errno; the real call is not made.
     Error(c_int),
-    /// Transfers at most one byte, or one buffer of a vectored write. For calls that transfer no data the fault is logged,
-    /// but they run as usual.
+    /// Transfers at most one byte, or one buffer of a vectored write. Calls that transfer no data run as usual,
+    /// though the fault is logged.
     Short,
 }
 
