--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -88,9 +88,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownLimits {
     /// A body that is not whole by then is given up.
-    pub body_by: Instant,
+    pub body_deadline: Instant,
     /// Every request has its answer by then.
-    pub answer_by: Instant,
+    pub answer_deadline: Instant,
 }
 
 /// Takes requests and answers each once; clones share one core.
@@ -195,7 +195,7 @@
         };
         self.counters().shutdown_answers.add();
         let class = self.words.classes[class.0].as_ref();
-        let left_ms = limits.answer_by.saturating_duration_since(Instant::now()).as_millis() as u64;
+        let left_ms = limits.answer_deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         tracing::info!(
             id = id.to_str().unwrap_or_default(),
             class,
@@ -206,18 +206,18 @@
 
     /// Takes the list of log workers from elsewhere from now on. Nothing else changes: what is under way goes
     /// on, and so do connections to log workers that the new list still holds.
-    pub async fn take_list_from(&self, source: ListSource) {
+    pub async fn set_list_source(&self, source: ListSource) {
         // The resolver lives as long as the channel's own tasks.
         let _ = self.orders.send(Order::Move(source)).await;
     }
 
     /// Whether a log worker is listed, or taken out by hand.
-    pub async fn knows(&self, worker: &str) -> bool {
+    pub async fn is_known_worker(&self, worker: &str) -> bool {
         self.handle.knows(worker).await
     }
 
     /// Says all that operators have taken out by hand; nothing new goes there once this has ended.
-    pub async fn ban(&self, bans: Arc<[Ban]>) {
+    pub async fn set_bans(&self, bans: Arc<[Ban]>) {
         // The subchannels first: what is dialling already finds them shut.
         self.fleet.ban(&bans);
         self.handle.ban(bans).await;
@@ -225,7 +225,7 @@
 
     /// Shares its descriptors, less so many, with another process from now on; or with none. Connections that are
     /// idle are closed, those in use go on.
-    pub fn share(&self, apart: Option<usize>) {
+    pub fn reserve_sockets(&self, apart: Option<usize>) {
         let of = |sockets: usize, part: f64| (sockets as f64 * part) as usize;
         let all = of(self.sockets, WORKER_PART);
         let usable =
@@ -246,7 +246,7 @@
         let mut shutdown = self.shutdown.subscribe();
         // The sender lives as long as `self`.
         let limits = shutdown.wait_for(Option::is_some).await.ok().and_then(|limits| *limits);
-        let cut_off = limits.map_or(Instant::now(), |limits| limits.body_by);
+        let cut_off = limits.map_or(Instant::now(), |limits| limits.body_deadline);
         tokio::time::sleep_until(cut_off.into()).await;
     }
 
@@ -297,8 +297,8 @@
         })?;
         // The client's time counts from the request's last byte, which is here now.
         let deadline = self.clock.now() + time_left;
-        let answer_by = self.shutdown.borrow().map(|limits| self.clock.at(limits.answer_by));
-        let deadline = answer_by.map_or(deadline, |answer_by| deadline.min(answer_by));
+        let answer_deadline = self.shutdown.borrow().map(|limits| self.clock.at(limits.answer_deadline));
+        let deadline = answer_deadline.map_or(deadline, |answer_deadline| deadline.min(answer_deadline));
         let body = body.to_bytes();
         let body = if grpc::is_call(&parts.headers) { grpc::unframe(body)? } else { body };
         let open = self.open_ids.open(&id)?;
@@ -349,7 +349,7 @@
                     tracing::debug!("a request is turned down: {bad}");
                     match is_call {
                         true => grpc::turn_down(&bad),
-                        false => plain(bad.status(), bad.to_string()),
+                        false => plain_response(bad.status(), bad.to_string()),
                     }
                 }
             })
@@ -368,7 +368,7 @@
 }
 
 /// A short answer of the channel's own.
-pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+pub fn plain_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(text.into()).boxed());
     *response.status_mut() = status;
     response
@@ -378,14 +378,14 @@
     match answer {
         Answer::Served(result) => Response::new(Full::new(result).boxed()),
         Answer::Refused { retry_after } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
+            let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
             if let Some(span) = retry_after {
                 let seconds = HeaderValue::from_str(&span.secs().to_string());
                 response.headers_mut().insert(header::RETRY_AFTER, seconds.expect("a number is plain text"));
             }
             response
         }
-        Answer::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        Answer::Failed => plain_response(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
     }
 }
 
--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tower::Service;
 
-use rookspoke_channel::{plain, ResponseBody, MAX_BUFFER};
+use rookspoke_channel::{plain_response, ResponseBody, MAX_BUFFER};
 use rookspoke_guard::{Framed, Permit, Socket};
 
 use crate::serving::Serving;
@@ -163,8 +163,8 @@
 async fn route(serving: Serving, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() == READY {
         return match serving.is_ready() {
-            true => plain(StatusCode::OK, "ready"),
-            false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+            true => plain_response(StatusCode::OK, "ready"),
+            false => plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         };
     }
     let Ok(mut response) = serving.channel().clone().call(request).await;
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -209,7 +209,7 @@
             tracing::warn!("changed, and heeded only after a restart: {}", words(&changes.at_restart));
         }
         if let (Some(serving), true) = (&self.serving, list) {
-            serving.channel().take_list_from(new.config.source.clone()).await;
+            serving.channel().set_list_source(new.config.source.clone()).await;
         }
         // Whether the platform counts by the old deadlines or by the new ones, a shutdown is over in time.
         let longest = longest_deadline(&new.config);
--- a/crates/rookspoke/src/front.rs
+++ b/crates/rookspoke/src/front.rs
@@ -73,8 +73,8 @@
             self.accept(&mut listener, &mut connections, &context, accept_until).await;
         }
         self.serving.channel().begin_shutdown(ShutdownLimits {
-            body_by: begun + plan.cut_off,
-            answer_by: begun + plan.answered_by,
+            body_deadline: begun + plan.cut_off,
+            answer_deadline: begun + plan.answered_by,
         });
         let by = Instant::now() + BACKLOG;
         while let Some((socket, permit)) = listener.last(shared, by).await {
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -35,7 +35,7 @@
     async fn knows(&self, worker: &str) -> bool {
         match &self.faktory {
             Some(faktory) if faktory.knows(worker).await => true,
-            _ => self.channel.knows(worker).await,
+            _ => self.channel.is_known_worker(worker).await,
         }
     }
 
@@ -44,7 +44,7 @@
         tracing::info!("out by hand: {}", if names.is_empty() { "none".into() } else { names.join(", ") });
         let ban = |(name, since): (&String, &i64)| Ban { worker: name.as_str().into(), since: Time(*since) };
         let bans: Arc<[Ban]> = held.bans.iter().map(ban).collect();
-        self.channel.ban(bans.clone()).await;
+        self.channel.set_bans(bans.clone()).await;
         if let Some(faktory) = &self.faktory {
             faktory.ban(bans).await;
         }
--- a/crates/rookspoke/src/share.rs
+++ b/crates/rookspoke/src/share.rs
@@ -59,7 +59,7 @@
             self.shared = shared;
             tracing::info!("{}", if shared { "another process lives" } else { "this process is alone" });
             self.limit.resize(if shared { shared_clients(self.sockets) } else { clients(self.sockets) });
-            serving.channel().share(shared.then_some(APART));
+            serving.channel().reserve_sockets(shared.then_some(APART));
         }
     }
 
