--- a/crates/channel/src/start_times.rs
+++ b/crates/channel/src/start_times.rs
@@ -1,37 +1,38 @@
-//! When log workers started, on this process's clock.
+//! Start times of log workers, corrected to this process's clock.
 //!
-//! Discovery gives a start as Unix time, and this process knows Unix time only as its machine's clock said it at the
-//! process's own start. That clock may have been stepped before, by an hour even. A start that cannot be true on it, since
-//! it lies ahead, or since it is told as news long after it was, counts from when it was first told: the log worker is
-//! taken for colder than it is, never for warmer. Only what discovery first tells a process is taken as it stands.
+//! Discovery gives a start as Unix time, while this process takes Unix time from its machine's clock only
+//! once, at its own start. That clock may have been stepped by then, even by an hour. A start is implausible if
+//! it lies in the future, or if it is reported as new long after it. An implausible start is replaced by the
+//! time of its first report, so a log worker may stay in slow start for too long, but never for too short a
+//! time. Starts in the first list from discovery are not checked for their age.
 
 use rookspoke_decisions::{ListScope, Listing, Name, Readiness, Span, Time};
 use rustc_hash::FxHashMap;
 
-/// News of a start comes within seconds, or, where discovery was out, within a minute.
-const NEWS: Span = Span(60_000_000);
+/// New starts are reported within seconds, or within a minute if discovery was down.
+const MAX_REPORT_DELAY: Span = Span(60_000_000);
 
-/// A start as it was told, and as it counts.
+/// A start as reported, and the time used for it.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    told: Time,
-    counts: Time,
+    reported: Time,
+    effective: Time,
 }
 
-/// The starts of the log workers that are listed.
+/// The starts of all listed log workers.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     starts: FxHashMap<Name, Start>,
-    /// Discovery has told something before: what it tells further is news.
+    /// A list from discovery has been seen, so further starts are new.
     has_list: bool,
 }
 
 impl StartTimes {
-    /// Sets the starts of entries that came at `now` to what counts on this process's clock.
+    /// Replaces the starts of entries that arrived at `now` by those in effect on this process's clock.
     pub fn correct(&mut self, scope: ListScope, entries: &mut [Listing], now: Time) {
-        let is_news = self.has_list;
-        let former = match scope {
-            // What a whole list does not name is gone.
+        let is_update = self.has_list;
+        let previous = match scope {
+            // Log workers missing from a complete list have been removed.
             ListScope::Complete => std::mem::take(&mut self.starts),
             _ => FxHashMap::default(),
         };
@@ -40,14 +41,16 @@
                 self.starts.remove(&entry.worker);
                 continue;
             }
-            let Some(told) = entry.started else { continue };
-            let known = self.starts.get(&entry.worker).or(former.get(&entry.worker));
+            let Some(reported) = entry.started else { continue };
+            let known = self.starts.get(&entry.worker).or(previous.get(&entry.worker));
             let start = match known {
-                Some(start) if start.told == told => *start,
-                _ if told > now || (is_news && told + NEWS < now) => Start { told, counts: now },
-                _ => Start { told, counts: told },
+                Some(start) if start.reported == reported => *start,
+                _ if reported > now || (is_update && reported + MAX_REPORT_DELAY < now) => {
+                    Start { reported, effective: now }
+                }
+                _ => Start { reported, effective: reported },
             };
-            entry.started = Some(start.counts);
+            entry.started = Some(start.effective);
             self.starts.insert(entry.worker.clone(), start);
         }
         self.has_list |= scope != ListScope::Remembered;
@@ -80,38 +83,38 @@
     }
 
     #[test]
-    fn a_start_told_by_a_clock_an_hour_off_counts_from_its_news() {
+    fn a_start_on_a_clock_that_is_off_by_an_hour_counts_from_its_first_report() {
         let now = Time::from_ms(10_000_000.0);
-        for (stepped, told) in [("back", now + HOUR), ("forward", now - HOUR)] {
+        for (stepped, reported) in [("back", now + HOUR), ("forward", now - HOUR)] {
             let mut times = StartTimes::default();
             times.correct(ListScope::Complete, &mut [listing("w-1", None)], now);
-            assert_eq!(corrected(&mut times, ListScope::Changes, told, now), now, "stepped {stepped}");
-            // Told again, it is no other start.
+            assert_eq!(corrected(&mut times, ListScope::Changes, reported, now), now, "stepped {stepped}");
+            // A repeated report of the same start changes nothing.
             let later = now + Span(5_000_000);
-            assert_eq!(corrected(&mut times, ListScope::Complete, told, later), now, "stepped {stepped}");
-            assert_eq!(corrected(&mut times, ListScope::Changes, told, later), now, "stepped {stepped}");
+            assert_eq!(corrected(&mut times, ListScope::Complete, reported, later), now, "stepped {stepped}");
+            assert_eq!(corrected(&mut times, ListScope::Changes, reported, later), now, "stepped {stepped}");
         }
     }
 
     #[test]
-    fn the_first_list_is_taken_as_it_stands_but_for_what_lies_ahead() {
+    fn starts_of_the_first_list_are_kept_unless_in_the_future() {
         let now = Time::from_ms(10_000_000.0);
-        let first = |told| corrected(&mut StartTimes::default(), ListScope::Remembered, told, now);
+        let first = |reported| corrected(&mut StartTimes::default(), ListScope::Remembered, reported, now);
         assert_eq!(first(now - HOUR), now - HOUR);
         assert_eq!(first(now + HOUR), now);
     }
 
     proptest! {
-        /// Nothing is taken for warmer than it was told, and news of the last minute stands.
+        /// A start never counts as earlier than reported, and reports of the last minute stay unchanged.
         #[test]
-        fn a_start_never_counts_as_older_than_told(offsets in proptest::collection::vec(-200_000_000i64..200_000_000, 1..20)) {
+        fn a_start_never_counts_as_earlier_than_reported(offsets in proptest::collection::vec(-200_000_000i64..200_000_000, 1..20)) {
             let (mut times, mut now) = (StartTimes::default(), Time::from_ms(10_000_000.0));
             for offset in offsets {
                 now = now + Span(100_000);
-                let told = now + Span(offset);
-                let counts = corrected(&mut times, ListScope::Changes, told, now);
-                prop_assert!(counts >= told.min(now) && counts <= now);
-                prop_assert!(counts == told || !(-NEWS.0..=0).contains(&offset));
+                let reported = now + Span(offset);
+                let effective = corrected(&mut times, ListScope::Changes, reported, now);
+                prop_assert!(effective >= reported.min(now) && effective <= now);
+                prop_assert!(effective == reported || !(-MAX_REPORT_DELAY.0..=0).contains(&offset));
             }
         }
     }
--- a/crates/channel/src/stream.rs
+++ b/crates/channel/src/stream.rs
@@ -1,8 +1,9 @@
-//! A TCP stream that takes calls which are interrupted or short for what they are.
+//! A TCP stream that handles interrupted and short system calls.
 //!
-//! An interrupted call says nothing of the connection. After a short read or write the runtime's own stream waits for
-//! news of the socket, on the grounds that the system had no more; a call cut short otherwise would be waited on for
-//! ever. So this one asks the socket until the system says that there is nothing more.
+//! An interrupted call says nothing about the connection and is retried. After a short read or write, tokio's
+//! own stream waits for the next readiness event, on the assumption that the socket had no more data or
+//! space. If the call was cut short for another reason, that event would never come. This stream therefore
+//! repeats the call until the system reports that it would block.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream without Nagle's delay.
+/// A TCP stream with `TCP_NODELAY` set.
 pub struct Stream(TcpStream);
 
 impl Stream {
@@ -24,8 +25,8 @@
     }
 }
 
-/// Whether the call that failed so is to be made again: it was interrupted, or its readiness was none.
-fn is_retried(error: &io::Error) -> bool {
+/// Whether a failed call must be repeated: it was interrupted, or the socket was not ready after all.
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
@@ -34,11 +35,11 @@
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read(buf.initialize_unfilled()) {
-                Ok(read) => {
-                    buf.advance(read);
+                Ok(count) => {
+                    buf.advance(count);
                     return Poll::Ready(Ok(()));
                 }
-                Err(error) if is_retried(&error) => {}
+                Err(error) if should_retry(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
         }
@@ -50,8 +51,8 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(buf) {
-                Err(error) if is_retried(&error) => {}
-                done => return Poll::Ready(done),
+                Err(error) if should_retry(&error) => {}
+                result => return Poll::Ready(result),
             }
         }
     }
