--- a/crates/channel/src/connection.rs
+++ b/crates/channel/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a log worker, which knows whether the request on it has been written to its last byte.
+//! One connection to a log worker. It tracks whether its current request has been written to the last byte.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,85 +23,85 @@
 use super::MAX_BUFFER;
 use rookspoke_dispatch::Counters;
 
-/// How far the request on a connection has been written.
+/// How much of the current request has been written.
 #[derive(Debug)]
-struct Written {
-    /// The length of the body whose request comes next.
-    body: AtomicUsize,
-    /// The last byte is out.
-    whole: AtomicBool,
-    /// The request is a call attempt, and counts; a probe does not.
-    counts: AtomicBool,
+struct WriteProgress {
+    /// Body length of the current request.
+    body_len: AtomicUsize,
+    /// The last byte of the request has been written.
+    complete: AtomicBool,
+    /// The request is a call attempt, which is counted; a probe is not.
+    is_attempt: AtomicBool,
     counters: Arc<Counters>,
 }
 
-/// Where in a request the bytes written so far end.
+/// The position in the request up to which bytes have been written.
 #[derive(Clone, Copy)]
-enum Place {
-    /// In the head; so many bytes of the empty line that ends it have matched.
+enum Position {
+    /// In the head; the number of bytes matched so far of the empty line that ends it.
     Head(usize),
-    /// In the body; so many bytes are left.
+    /// In the body; the number of bytes still to be written.
     Body(usize),
 }
 
-/// A socket that watches what is written to it.
-struct Watched {
+/// A socket that tracks which part of a request has been written to it.
+struct TrackedStream {
     stream: Stream,
-    written: Arc<Written>,
-    place: Place,
+    written: Arc<WriteProgress>,
+    position: Position,
 }
 
-impl Watched {
-    fn wrote(&mut self, mut bytes: &[u8]) {
-        const END: &[u8; 4] = b"\r\n\r\n";
+impl TrackedStream {
+    fn track_written(&mut self, mut bytes: &[u8]) {
+        const HEAD_END: &[u8; 4] = b"\r\n\r\n";
         while let Some((first, rest)) = bytes.split_first() {
-            match self.place {
-                Place::Head(matched) => {
+            match self.position {
+                Position::Head(matched) => {
                     let matched = match *first {
-                        byte if byte == END[matched] => matched + 1,
+                        byte if byte == HEAD_END[matched] => matched + 1,
                         b'\r' => 1,
                         _ => 0,
                     };
-                    self.place = Place::Head(matched);
+                    self.position = Position::Head(matched);
                     bytes = rest;
-                    if matched == END.len() {
-                        self.place = Place::Body(self.written.body.load(Ordering::Acquire));
+                    if matched == HEAD_END.len() {
+                        self.position = Position::Body(self.written.body_len.load(Ordering::Acquire));
                     }
                 }
-                Place::Body(left) => {
-                    let now = left.min(bytes.len());
-                    self.place = Place::Body(left - now);
-                    bytes = &bytes[now..];
-                    if now == 0 {
+                Position::Body(left) => {
+                    let count = left.min(bytes.len());
+                    self.position = Position::Body(left - count);
+                    bytes = &bytes[count..];
+                    if count == 0 {
                         return;
                     }
                 }
             }
-            if let Place::Body(0) = self.place {
-                self.written.whole.store(true, Ordering::Release);
-                // Here and not after the answer: an attempt that is called off was written, too.
-                if self.written.counts.load(Ordering::Acquire) {
+            if let Position::Body(0) = self.position {
+                self.written.complete.store(true, Ordering::Release);
+                // Counted here, not after the response: a cancelled attempt was written, too.
+                if self.written.is_attempt.load(Ordering::Acquire) {
                     self.written.counters.written.add();
                 }
-                self.place = Place::Head(0);
+                self.position = Position::Head(0);
             }
         }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TrackedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TrackedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.stream).poll_write(cx, buf);
-        if let Poll::Ready(Ok(n)) = done {
-            self.wrote(&buf[..n]);
+        let result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        if let Poll::Ready(Ok(count)) = result {
+            self.track_written(&buf[..count]);
         }
-        done
+        result
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_flush(cx)
@@ -111,45 +111,45 @@
     }
 }
 
-/// A connection that takes one request at a time.
+/// A connection that carries one request at a time.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    written: Arc<Written>,
-    /// When it was last put to use.
+    written: Arc<WriteProgress>,
+    /// When the connection last became idle, or was opened.
     pub idle_since: Instant,
-    /// It has carried a request before the one on it.
-    pub kept: bool,
-    /// The process start that discovery told of when it was opened.
+    /// The connection has carried an earlier request.
+    pub reused: bool,
+    /// The start time of the log worker's process that was known when the connection was opened.
     pub epoch: u64,
     _task: ConnectionTask,
-    _room: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 }
 
-/// Whether a failed request had been written to its last byte.
+/// Why a request failed, by whether it was written to its last byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broke {
-    /// Not all of it: the log worker cannot have begun on it.
+pub enum SendError {
+    /// It was not written completely, so the log worker cannot have started it.
     BeforeLastByte,
-    /// All of it: it may have run.
+    /// It was written completely, so it may have run.
     AfterLastByte,
 }
 
 impl Connection {
-    /// Opens a connection; `room` is its place among all that may be open.
+    /// Opens a connection, which holds `permit` until it is closed.
     pub async fn open(
         address: SocketAddr,
-        within: Duration,
+        connect_timeout: Duration,
         epoch: u64,
-        room: OwnedSemaphorePermit,
+        permit: OwnedSemaphorePermit,
         counters: Arc<Counters>,
     ) -> io::Result<Self> {
-        let stream = timeout(within, Stream::connect(address)).await??;
-        let (body, whole, counts) = Default::default();
-        let written = Arc::new(Written { body, whole, counts, counters });
-        let watched = Watched { stream, written: written.clone(), place: Place::Head(0) };
+        let stream = timeout(connect_timeout, Stream::connect(address)).await??;
+        let (body_len, complete, is_attempt) = Default::default();
+        let written = Arc::new(WriteProgress { body_len, complete, is_attempt, counters });
+        let tracked = TrackedStream { stream, written: written.clone(), position: Position::Head(0) };
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_BUFFER)
-            .handshake(TokioIo::new(watched))
+            .handshake(TokioIo::new(tracked))
             .await
             .map_err(io::Error::other)?;
         let task = ConnectionTask(tokio::spawn(async move {
@@ -159,37 +159,39 @@
             sender,
             written,
             idle_since: Instant::now(),
-            kept: false,
+            reused: false,
             epoch,
             _task: task,
-            _room: room,
+            _permit: permit,
         })
     }
 
-    /// Whether the other side has closed it.
+    /// Whether the log worker has closed the connection.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Ready for the next request, once the last one's answer has been read to its end.
+    /// Waits until the previous response has been read completely; whether the connection can take another
+    /// request.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends one request, which may count as a call attempt; dropping the connection gives it up.
+    /// Sends one request; `is_attempt` tells call attempts, which are counted, from probes. Dropping the
+    /// connection cancels the request.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
         body_len: usize,
-        counts: bool,
-    ) -> Result<Response<Incoming>, Broke> {
-        self.written.body.store(body_len, Ordering::Release);
-        self.written.whole.store(false, Ordering::Release);
-        self.written.counts.store(counts, Ordering::Release);
+        is_attempt: bool,
+    ) -> Result<Response<Incoming>, SendError> {
+        self.written.body_len.store(body_len, Ordering::Release);
+        self.written.complete.store(false, Ordering::Release);
+        self.written.is_attempt.store(is_attempt, Ordering::Release);
         let sent = self.sender.send_request(request).await;
-        sent.map_err(|_| match self.written.whole.load(Ordering::Acquire) {
-            true => Broke::AfterLastByte,
-            false => Broke::BeforeLastByte,
+        sent.map_err(|_| match self.written.complete.load(Ordering::Acquire) {
+            true => SendError::AfterLastByte,
+            false => SendError::BeforeLastByte,
         })
     }
 }
--- a/crates/channel/src/fleet.rs
+++ b/crates/channel/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The subchannels of all listed log workers, and the core's transport over them.
+//! The subchannels of all listed log workers, and the dispatcher's transport over them.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -10,64 +10,65 @@
 use tokio::sync::mpsc;
 use tower::Service;
 
-use super::resolver::Order;
+use super::resolver::Command;
 use super::subchannel::{lock, Call, Shared, Subchannel};
 use rookspoke_config::Update;
 use rookspoke_decisions::{Ban, ListScope, Listing, Name, Outcome, Readiness};
 use rookspoke_dispatch::{CallAttempt, Ended, Probed, Transport};
 
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval between checks for expired idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Every subchannel, by the name of its log worker.
 #[derive(Clone)]
 pub struct Fleet {
     pub shared: Arc<Shared>,
     subchannels: Arc<std::sync::Mutex<FxHashMap<Name, Subchannel>>>,
-    /// Taken out by hand, listed or not.
+    /// Log workers banned by operators, whether listed or not.
     banned: Arc<std::sync::Mutex<BTreeSet<Name>>>,
 }
 
 impl Fleet {
-    /// Without any log worker yet.
+    /// A fleet without log workers.
     pub fn new(shared: Arc<Shared>) -> Self {
         let fleet = Fleet { shared, subchannels: Arc::default(), banned: Arc::default() };
-        // Nobody else sets it.
+        // This is the only place that sets it, so it cannot fail.
         let _ = fleet.shared.subchannels.set(Arc::downgrade(&fleet.subchannels));
         fleet
     }
 
-    /// All subchannels.
+    /// Locks the map of subchannels.
     pub fn lock(&self) -> std::sync::MutexGuard<'_, FxHashMap<Name, Subchannel>> {
         lock(&self.subchannels)
     }
 
-    /// Takes out by hand exactly these.
-    pub fn ban(&self, bans: &[Ban]) {
-        let new: BTreeSet<Name> = bans.iter().map(|ban| ban.worker.clone()).collect();
+    /// Replaces the set of bans.
+    pub fn set_bans(&self, bans: &[Ban]) {
+        let names: BTreeSet<Name> = bans.iter().map(|ban| ban.worker.clone()).collect();
         let mut banned = lock(&self.banned);
-        self.lock().iter().for_each(|(name, subchannel)| subchannel.set_banned(new.contains(name)));
-        *banned = new;
+        self.lock().iter().for_each(|(name, subchannel)| subchannel.set_banned(names.contains(name)));
+        *banned = names;
     }
 
-    /// The way to one log worker.
+    /// The subchannel of one log worker, if it is listed.
     pub fn get(&self, name: &Name) -> Option<Subchannel> {
         self.lock().get(name).cloned()
     }
 
-    /// Takes a list or its changes, whose entries `listings` holds as the decisions take them. What is gone or draining
-    /// is shut for new work from this moment on, before the decisions hear of it.
+    /// Applies a list or a change. `listings` holds the entries of `update` in the dispatcher's form, in the
+    /// same order. Log workers that are removed or draining get no new requests from this moment on, even
+    /// before the dispatcher is notified.
     pub fn apply(&self, scope: ListScope, update: &Update, listings: &[Listing]) {
         let banned = lock(&self.banned);
         let mut subchannels = self.lock();
         if scope != ListScope::Changes {
-            let named: FxHashSet<&str> = update.targets.iter().map(|target| target.uid.as_ref()).collect();
+            let listed: FxHashSet<&str> = update.targets.iter().map(|target| target.uid.as_ref()).collect();
             subchannels.retain(|name, subchannel| {
                 subchannel.set_ready(false);
-                named.contains(name.as_ref())
+                listed.contains(name.as_ref())
             });
         }
-        // Nobody knows what was told of these: they are shut as if they drained.
+        // The content of these entries is unknown, so their log workers are treated as draining.
         for name in update.unreadable.iter().filter_map(|entry| entry.worker.as_ref()) {
             if let Some(subchannel) = subchannels.get(name) {
                 subchannel.set_ready(false);
@@ -76,8 +77,8 @@
         for (target, listing) in update.targets.iter().zip(listings) {
             let name = &listing.worker;
             if listing.readiness == Readiness::Gone {
-                if let Some(gone) = subchannels.remove(name) {
-                    gone.set_ready(false);
+                if let Some(subchannel) = subchannels.remove(name) {
+                    subchannel.set_ready(false);
                 }
                 continue;
             }
@@ -94,9 +95,9 @@
         }
     }
 
-    /// Closes idle connections in time, for as long as it is polled.
+    /// Closes idle connections when they expire, for as long as it is polled.
     pub async fn sweep(self) {
-        let mut ticks = tokio::time::interval(SWEEP);
+        let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
             self.lock().values().for_each(Subchannel::sweep);
@@ -104,20 +105,20 @@
     }
 }
 
-/// The core's transport over subchannels.
-pub struct Subchannels {
+/// The dispatcher's transport over subchannels.
+pub struct SubchannelTransport {
     pub fleet: Fleet,
-    pub orders: mpsc::Sender<Order>,
+    pub commands: mpsc::Sender<Command>,
 }
 
-impl Subchannels {
-    fn order(&self, order: Order) {
-        // A full queue already holds an order that will ask again.
-        let _ = self.orders.try_send(order);
+impl SubchannelTransport {
+    fn send_command(&self, command: Command) {
+        // A full queue already holds a command that calls discovery again.
+        let _ = self.commands.try_send(command);
     }
 }
 
-impl Transport for Subchannels {
+impl Transport for SubchannelTransport {
     type Call = Arc<Call>;
     type Reply = Bytes;
 
@@ -148,11 +149,11 @@
     }
 
     fn watch(&mut self) {
-        self.order(Order::Watch);
+        self.send_command(Command::Watch);
     }
 
     fn fetch_list(&mut self) {
-        self.order(Order::Fetch);
+        self.send_command(Command::Fetch);
     }
 
     fn close_idle(&mut self, worker: &Name) {
--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The client-side plug-in: a `tower` service of HTTP requests, for an RPC client to use in process. Beneath
-//! it are the resolver and a subchannel for each log worker.
+//! The client-side plug-in: a `tower` service over HTTP requests that an RPC client uses in process. A
+//! resolver follows service discovery, and a subchannel leads to each log worker.
 
 mod connection;
 mod fleet;
@@ -30,91 +30,95 @@
 use tokio::sync::{mpsc, watch, Semaphore};
 use tower::Service;
 
-use fleet::{Fleet, Subchannels};
+use fleet::{Fleet, SubchannelTransport};
 use membership::discover;
-use request::{BadRequest, Facts, Head, OpenId, OpenIds};
-use resolver::Order;
+use request::{BadRequest, Facts, OpenId, OpenIds, RequestHead};
+use resolver::Command;
 use rookspoke_config::{Config, ListSource};
 use rookspoke_decisions::{Ban, ClassId, Effect, Note, RequestId, SettingsError, Span, Time};
 use rookspoke_dispatch::{request_span, Answer, Ask, Clock, Core, Counters, Handle, Limits};
 use rookspoke_wire::Vocabulary;
 use subchannel::{Call, Shared, Subchannel, NO_WATCH};
 
-/// The most that a body holds, on any side.
+/// Upper bound of any request or response body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 const STATS: &str = "/stats";
-/// What a connection holds of a head, and of a body at a time: a thousand connections must fit in memory.
+/// Upper bound of the buffer of one connection, which holds a message head or a part of a body. It is small
+/// because a thousand connections must fit in memory.
 pub const MAX_BUFFER: usize = 16 * 1024;
-/// A request whose body takes longer than this to come is given up: a client that stops in the middle of a request is
-/// owed its error within 3 s.
+/// Time limit for receiving a request body. A client that stops in the middle of its request must get its
+/// error within 3 s.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Connections to log workers, as a part of the descriptors: clients need more, and a few are spare.
-const WORKER_PART: f64 = 0.42;
-/// The same of what is shared with another process.
-const SHARED_WORKER_PART: f64 = 0.22;
-/// Idle connections live for this part of the time that log workers leave them: short of it by seconds.
-const IDLE_PART: f64 = 0.7;
-/// A client told nothing else by the decisions is asked to keep away for this long.
-const COME_BACK: Span = Span(250_000);
-
-/// The headers of the platform's protocol.
+/// Fraction of the file descriptors used for connections to log workers. Client connections need more, and a
+/// few descriptors stay spare.
+const WORKER_SOCKET_FRACTION: f64 = 0.42;
+/// The same fraction while the descriptors are shared with another process.
+const SHARED_WORKER_SOCKET_FRACTION: f64 = 0.22;
+/// Idle connections are closed after this fraction of the log workers' idle timeout, which is seconds before
+/// a log worker closes them.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
+/// `Retry-After` of a refusal for which the dispatcher gives no value of its own.
+const DEFAULT_RETRY_AFTER: Span = Span(250_000);
+
+/// Header names of the platform's protocol.
 pub mod headers {
-    /// Names a request, anew for each try.
+    /// Identifies a request; a client uses a new id for each retry.
     pub const ID: &str = "x-correlation-id";
-    /// The class.
+    /// The request's class.
     pub const CLASS: &str = "x-service-class";
-    /// How long the client waits, in whole milliseconds.
+    /// The time the client is willing to wait, in whole milliseconds.
     pub const TIME_LEFT: &str = "x-time-left-ms";
-    /// The tenant, as the settings name it.
+    /// The tenant's account, by its name in the settings.
     pub const ACCOUNT: &str = "x-account";
-    /// What all tries of a keyed request share.
+    /// Identifies a keyed request; all retries of it carry the same value.
     pub const KEY: &str = "idempotency-key";
-    /// A client's guess at a request's work, in microseconds.
+    /// The client's estimate of the request's work, in microseconds.
     pub const WEIGHT_HINT: &str = "x-weight-hint";
-    /// Further figures of a request.
+    /// Resource needs of a request, as `name=value` pairs.
     pub const FACTS: &str = "x-facts";
-    /// A log worker's load.
+    /// The load report of a log worker.
     pub const LOAD: &str = "x-backend-load";
-    /// A log worker never looked at the request.
+    /// Set by a log worker on a response to a request that it did not process.
     pub const UNPROCESSED: &str = "x-unprocessed";
 }
 
-/// The body of an answer.
+/// The body type of every response of the channel.
 pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
-type Notes = Arc<dyn Fn(RequestId, usize, Note) -> BoxFuture<'static, ()> + Send + Sync>;
+type ProgressSink = Arc<dyn Fn(RequestId, usize, Note) -> BoxFuture<'static, ()> + Send + Sync>;
 
-/// What a shutdown allows to requests that are taken after it was announced.
+/// Time limits for requests that arrive after a shutdown has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownLimits {
-    /// A body that is not whole by then is given up.
+    /// A body that is not complete by then is given up.
     pub body_deadline: Instant,
-    /// Every request has its answer by then.
+    /// Every request is answered by then.
     pub answer_deadline: Instant,
 }
 
-/// Takes requests and answers each once; clones share one core.
+/// Accepts requests and gives each exactly one answer. Clones share one dispatcher task.
 #[derive(Clone)]
 pub struct Channel {
     handle: Handle<Arc<Call>, Bytes>,
-    words: Arc<Vocabulary>,
+    vocabulary: Arc<Vocabulary>,
     clock: Clock,
     ready: watch::Receiver<bool>,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<Command>,
     open_ids: OpenIds,
-    /// What a refused client is told, where the decisions say nothing else; none where it hears no advice.
-    come_back: Option<Span>,
-    /// By when what is taken must be over, once a shutdown has begun.
+    /// `Retry-After` of refusals for which the dispatcher gives no value; `None` where clients get no such
+    /// advice.
+    default_retry_after: Option<Span>,
+    /// The time limits in effect; `None` until a shutdown begins.
     shutdown: watch::Sender<Option<ShutdownLimits>>,
-    /// For each class, how far its requests may be repeated.
+    /// How far the requests of each class may be repeated, indexed by class.
     effects: Arc<[Effect]>,
     fleet: Fleet,
     sockets: usize,
 }
 
 impl Channel {
-    /// Starts a channel's tasks on the current runtime. The returned future is the core's: it ends only when
-    /// every clone of the channel is gone, or by a fault.
+    /// Starts the channel's tasks on the current runtime. The returned future drives the dispatcher: it ends
+    /// once every clone of the channel is dropped, or with an error.
     pub fn start(
         config: &Config,
     ) -> (Self, impl Future<Output = Result<(), SettingsError>> + Send + 'static) {
@@ -122,50 +126,50 @@
         let sockets = config.limits.sockets;
         let limits = Limits { queue: 4 * sockets, open_requests: sockets * 2 / 5 };
         let (handle, core) = Core::new(limits, config.settings.classes.iter().map(|class| &class.name));
-        let notes = handle.clone();
+        let progress_handle = handle.clone();
         let shared = Arc::new(Shared {
             clock,
-            words: config.words.clone(),
-            notes: Arc::new(move |request, attempt, note| {
-                let notes = notes.clone();
-                Box::pin(async move { notes.note(request, attempt, note).await })
+            vocabulary: config.words.clone(),
+            progress: Arc::new(move |request, attempt, note| {
+                let handle = progress_handle.clone();
+                Box::pin(async move { handle.note(request, attempt, note).await })
             }),
             counters: handle.counters().clone(),
-            room: Arc::new(Semaphore::new((sockets as f64 * WORKER_PART) as usize)),
-            spare: Default::default(),
+            permits: Arc::new(Semaphore::new((sockets as f64 * WORKER_SOCKET_FRACTION) as usize)),
+            reserved_permits: Default::default(),
             connect_timeout: millis(config.connect_timeout_ms),
-            max_idle: millis(config.conn_idle_ms * IDLE_PART),
-            severed: std::sync::Mutex::default(),
-            last_word: NO_WATCH.into(),
+            max_idle: millis(config.conn_idle_ms * IDLE_TIMEOUT_FRACTION),
+            stale_connection_at: std::sync::Mutex::default(),
+            last_watch_message: NO_WATCH.into(),
             subchannels: std::sync::OnceLock::new(),
-            list_unread: false.into(),
+            list_unreadable: false.into(),
         });
-        let (orders, inbox) = mpsc::channel(4);
-        // The decisions spread their first call over seconds; a dispatcher that has just started is of no use
-        // until its list is there.
-        let _ = orders.try_send(Order::Watch);
+        let (commands, command_receiver) = mpsc::channel(4);
+        // Requests the list at once: the dispatcher spreads its first call over seconds, and a newly started
+        // process cannot serve before it has a list.
+        let _ = commands.try_send(Command::Watch);
         let (set_ready, ready) = watch::channel(false);
         let fleet = Fleet::new(shared);
-        let transport = Subchannels { fleet: fleet.clone(), orders: orders.clone() };
+        let transport = SubchannelTransport { fleet: fleet.clone(), commands: commands.clone() };
         let (settings, seed) = (config.settings.clone(), config.seed);
         let core = core.run(settings, seed, clock, transport);
         tokio::spawn(fleet.clone().sweep());
-        tokio::spawn(discover(config, handle.clone(), fleet.clone(), inbox, set_ready));
-        let words = Arc::new(config.words.clone());
+        tokio::spawn(discover(config, handle.clone(), fleet.clone(), command_receiver, set_ready));
+        let vocabulary = Arc::new(config.words.clone());
         let limits = &config.settings.limits;
-        let come_back = limits.retry_after.then(|| COME_BACK.min(limits.max_retry_after));
+        let default_retry_after = limits.retry_after.then(|| DEFAULT_RETRY_AFTER.min(limits.max_retry_after));
         let open_ids = OpenIds::default();
         let shutdown = watch::Sender::new(None);
         let effects = config.settings.classes.iter().map(|class| class.effect).collect();
         (
             Channel {
                 handle,
-                words,
+                vocabulary,
                 clock,
                 ready,
-                orders,
+                commands,
                 open_ids,
-                come_back,
+                default_retry_after,
                 shutdown,
                 effects,
                 fleet,
@@ -175,12 +179,13 @@
         )
     }
 
-    /// Adds to a refusal when to come back.
-    fn advise(&self, answer: Answer<Bytes>) -> Answer<Bytes> {
+    /// Fills in the default `Retry-After` of a refusal, or removes the value where clients get no such
+    /// advice.
+    fn with_retry_advice(&self, answer: Answer<Bytes>) -> Answer<Bytes> {
         match answer {
-            Answer::Refused { retry_after } => {
-                Answer::Refused { retry_after: self.come_back.map(|usual| retry_after.unwrap_or(usual)) }
-            }
+            Answer::Refused { retry_after } => Answer::Refused {
+                retry_after: self.default_retry_after.map(|default| retry_after.unwrap_or(default)),
+            },
             answer => answer,
         }
     }
@@ -194,108 +199,108 @@
             Answer::Failed => "failed",
         };
         self.counters().shutdown_answers.add();
-        let class = self.words.classes[class.0].as_ref();
+        let class = self.vocabulary.classes[class.0].as_ref();
         let left_ms = limits.answer_deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
-        tracing::info!(
-            id = id.to_str().unwrap_or_default(),
-            class,
-            left_ms,
-            "shutdown: a request is {answer}"
-        );
+        tracing::info!(id = id.to_str().unwrap_or_default(), class, left_ms, "shutdown: request {answer}");
     }
 
-    /// Takes the list of log workers from elsewhere from now on. Nothing else changes: what is under way goes
-    /// on, and so do connections to log workers that the new list still holds.
+    /// Follows another source of the list of log workers from now on. Requests in flight go on, and
+    /// connections to log workers that the new list still contains stay open.
     pub async fn set_list_source(&self, source: ListSource) {
-        // The resolver lives as long as the channel's own tasks.
-        let _ = self.orders.send(Order::Move(source)).await;
+        // The send cannot fail: the resolver lives as long as the channel's own tasks.
+        let _ = self.commands.send(Command::SetSource(source)).await;
     }
 
-    /// Whether a log worker is listed, or taken out by hand.
+    /// Whether the log worker is listed or banned by an operator.
     pub async fn is_known_worker(&self, worker: &str) -> bool {
         self.handle.knows(worker).await
     }
 
-    /// Says all that operators have taken out by hand; nothing new goes there once this has ended.
+    /// Replaces the set of operator bans. Once this future completes, no new request is sent to a banned log
+    /// worker.
     pub async fn set_bans(&self, bans: Arc<[Ban]>) {
-        // The subchannels first: what is dialling already finds them shut.
-        self.fleet.ban(&bans);
+        // The subchannels come first, so that an attempt that is still connecting finds the ban before it
+        // sends.
+        self.fleet.set_bans(&bans);
         self.handle.ban(bans).await;
     }
 
-    /// Shares its descriptors, less so many, with another process from now on; or with none. Connections that are
-    /// idle are closed, those in use go on.
-    pub fn reserve_sockets(&self, apart: Option<usize>) {
-        let of = |sockets: usize, part: f64| (sockets as f64 * part) as usize;
-        let all = of(self.sockets, WORKER_PART);
-        let usable =
-            apart.map_or(all, |apart| of(self.sockets.saturating_sub(apart), SHARED_WORKER_PART).max(8));
-        self.fleet.shared.spare.store(all.saturating_sub(usable), Ordering::Relaxed);
-        if apart.is_some() {
+    /// Leaves room for another process that shares the descriptors: `reserved` of them are set aside for uses
+    /// other than connections, and the channel takes a smaller fraction of the rest. `None` ends the sharing.
+    /// Entering it closes idle connections; those in use stay open.
+    pub fn reserve_sockets(&self, reserved: Option<usize>) {
+        let scaled = |sockets: usize, fraction: f64| (sockets as f64 * fraction) as usize;
+        let total = scaled(self.sockets, WORKER_SOCKET_FRACTION);
+        let usable = reserved.map_or(total, |reserved| {
+            scaled(self.sockets.saturating_sub(reserved), SHARED_WORKER_SOCKET_FRACTION).max(8)
+        });
+        self.fleet.shared.reserved_permits.store(total.saturating_sub(usable), Ordering::Relaxed);
+        if reserved.is_some() {
             self.fleet.lock().values().for_each(Subchannel::close_idle);
         }
     }
 
-    /// Holds what is taken from now on to the limits of a shutdown.
+    /// Applies the time limits of a shutdown to requests that arrive from now on.
     pub fn begin_shutdown(&self, limits: ShutdownLimits) {
         self.shutdown.send_replace(Some(limits));
     }
 
-    /// Ends when bodies are waited for no longer.
-    async fn bodies_are_cut_off(&self) {
+    /// Completes when the time limit for request bodies has passed.
+    async fn body_deadline_reached(&self) {
         let mut shutdown = self.shutdown.subscribe();
-        // The sender lives as long as `self`.
+        // The sender lives as long as `self`, so the wait cannot fail.
         let limits = shutdown.wait_for(Option::is_some).await.ok().and_then(|limits| *limits);
         let cut_off = limits.map_or(Instant::now(), |limits| limits.body_deadline);
         tokio::time::sleep_until(cut_off.into()).await;
     }
 
-    /// The present moment on the decisions' clock: Unix time at the start, and from then on monotonic.
+    /// The current time on the dispatcher's clock, which starts at Unix time and is monotonic from then on.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Waits until there is a first list of log workers.
+    /// Waits for the first list of log workers.
     pub async fn ready(&self) {
-        // The sender lives as long as the channel's own tasks.
+        // The sender lives as long as the channel's own tasks, so the wait cannot fail.
         let _ = self.ready.clone().wait_for(|ready| *ready).await;
     }
 
-    /// Whether there is a first list of log workers.
+    /// Whether a first list of log workers has arrived.
     pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
 
-    /// The running totals.
+    /// The running totals of this channel.
     pub fn counters(&self) -> &Arc<Counters> {
         self.handle.counters()
     }
 
-    /// Judges a request, reads its body, and opens its id.
-    async fn read<B>(&self, request: Request<B>) -> Result<(Ask<Arc<Call>>, OpenId), BadRequest>
+    /// Validates a request's head, reads its body and registers its id as open.
+    async fn parse<B>(&self, request: Request<B>) -> Result<(Ask<Arc<Call>>, OpenId), BadRequest>
     where
         B: Body,
         B::Data: Buf,
         B::Error: Into<tower::BoxError>,
     {
         let (parts, body) = request.into_parts();
-        let Head { class, key, id, time_left, tenant, work, facts, uri } = Head::read(&parts, &self.words)?;
-        // A body that says beforehand that it is too long is not waited for.
+        let RequestHead { class, key, id, time_left, tenant, work, facts, uri } =
+            RequestHead::read(&parts, &self.vocabulary)?;
+        // A body whose announced length is over the limit is not read at all.
         if body.size_hint().lower() > MAX_BODY as u64 {
-            return Err(BadRequest::TooLong);
+            return Err(BadRequest::BodyTooLong);
         }
         let body = tokio::select! {
-            // What is here goes first.
+            // A complete body takes precedence over an expired timer.
             biased;
             body = Limited::new(body, MAX_BODY).collect() => body,
-            () = tokio::time::sleep(BODY_TIMEOUT) => return Err(BadRequest::TooSlow),
-            () = self.bodies_are_cut_off() => return Err(BadRequest::TooSlow),
+            () = tokio::time::sleep(BODY_TIMEOUT) => return Err(BadRequest::BodyTimeout),
+            () = self.body_deadline_reached() => return Err(BadRequest::BodyTimeout),
         };
-        let body = body.map_err(|e| match e.is::<LengthLimitError>() {
-            true => BadRequest::TooLong,
-            false => BadRequest::Broken,
+        let body = body.map_err(|error| match error.is::<LengthLimitError>() {
+            true => BadRequest::BodyTooLong,
+            false => BadRequest::BodyInterrupted,
         })?;
-        // The client's time counts from the request's last byte, which is here now.
+        // The client's time limit counts from the last byte of the request, which has arrived now.
         let deadline = self.clock.now() + time_left;
         let answer_deadline = self.shutdown.borrow().map(|limits| self.clock.at(limits.answer_deadline));
         let deadline = answer_deadline.map_or(deadline, |answer_deadline| deadline.min(answer_deadline));
@@ -304,12 +309,13 @@
         let open = self.open_ids.open(&id)?;
         let mut headers = parts.headers;
         remove_hop_by_hop(&mut headers);
-        let class_name = self.words.classes[class.0].as_ref();
+        let class_name = self.vocabulary.classes[class.0].as_ref();
         let span = request_span(id.to_str().unwrap_or_default(), class_name);
         let effect = self.effects[class.0];
-        let tag = if let Effect::Keyed { .. } = effect { request::tag(&headers, class)? } else { None };
-        let (once, over) = (effect == Effect::Unsafe, false.into());
-        let call = Arc::new(Call { method: parts.method, uri, headers, id, body, once, over });
+        let tag =
+            if let Effect::Keyed { .. } = effect { request::idempotency_tag(&headers, class)? } else { None };
+        let (at_most_once, finished) = (effect == Effect::Unsafe, false.into());
+        let call = Arc::new(Call { method: parts.method, uri, headers, id, body, at_most_once, finished });
         let Facts { slots, memory } = facts;
         Ok((Ask { class, tenant, key, tag, work, slots, memory, deadline, call, span }, open))
     }
@@ -333,12 +339,12 @@
         let channel = self.clone();
         Box::pin(async move {
             let is_call = grpc::is_call(request.headers());
-            Ok(match channel.read(request).await {
+            Ok(match channel.parse(request).await {
                 Ok((ask, _open)) => {
-                    let over = Over(ask.call.clone());
+                    let finish = FinishOnDrop(ask.call.clone());
                     let class = ask.class;
-                    let answer = channel.advise(channel.handle.ask(ask).await);
-                    channel.log_at_shutdown(&over.0.id, class, &answer);
+                    let answer = channel.with_retry_advice(channel.handle.ask(ask).await);
+                    channel.log_at_shutdown(&finish.0.id, class, &answer);
                     match is_call {
                         true => grpc::respond(answer),
                         false => respond(answer),
@@ -346,9 +352,9 @@
                 }
                 Err(bad) => {
                     channel.counters().malformed.add();
-                    tracing::debug!("a request is turned down: {bad}");
+                    tracing::debug!("request rejected: {bad}");
                     match is_call {
-                        true => grpc::turn_down(&bad),
+                        true => grpc::reject(&bad),
                         false => plain_response(bad.status(), bad.to_string()),
                     }
                 }
@@ -357,17 +363,17 @@
     }
 }
 
-/// Marks a call as over when dropped: its answer is there, or whoever asked has left. At once, and past all queues:
-/// an attempt that is just coming to its send finds it so.
-struct Over(Arc<Call>);
+/// Marks a call as finished when dropped: it was answered, or the client has gone. The flag takes effect at
+/// once, without passing through a queue, so an attempt that is about to send sees it.
+struct FinishOnDrop(Arc<Call>);
 
-impl Drop for Over {
+impl Drop for FinishOnDrop {
     fn drop(&mut self) {
-        self.0.over.store(true, Ordering::Release);
+        self.0.finished.store(true, Ordering::Release);
     }
 }
 
-/// A short answer of the channel's own.
+/// A response with a short text body, made by the channel itself.
 pub fn plain_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(text.into()).boxed());
     *response.status_mut() = status;
@@ -381,7 +387,9 @@
             let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "unavailable");
             if let Some(span) = retry_after {
                 let seconds = HeaderValue::from_str(&span.secs().to_string());
-                response.headers_mut().insert(header::RETRY_AFTER, seconds.expect("a number is plain text"));
+                response
+                    .headers_mut()
+                    .insert(header::RETRY_AFTER, seconds.expect("a number is a valid header value"));
             }
             response
         }
@@ -389,8 +397,7 @@
     }
 }
 
-/// Takes out what speaks of one connection alone, and the length, which the connection to the log worker
-/// words itself.
+/// Removes the hop-by-hop headers and the length, which the connection to the log worker sets itself.
 fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
--- a/crates/channel/src/lines.rs
+++ b/crates/channel/src/lines.rs
@@ -1,4 +1,5 @@
-//! Answers of log workers, which hold one object to a line, as bytes; bounded as all bodies of jobs are.
+//! Splits log workers' responses, which hold one JSON object per line, into lines. Their length is bounded
+//! like that of all job bodies.
 
 use bytes::{Bytes, BytesMut};
 use http_body::Body;
@@ -7,63 +8,63 @@
 
 use super::MAX_BODY;
 
-/// Why a body could not be read on.
+/// Why the rest of a body could not be read.
 #[derive(Debug, Error)]
 pub enum LineError {
     /// The connection broke.
     #[error("the connection broke: {0}")]
-    Broken(#[from] hyper::Error),
-    /// A line, or a whole body, longer than 64 KiB.
-    #[error("longer than {MAX_BODY} bytes")]
+    Connection(#[from] hyper::Error),
+    /// A line, or the whole body, is longer than 64 KiB.
+    #[error("found more than {MAX_BODY} bytes, expected at most that many")]
     TooLong,
 }
 
 /// Splits a body into lines.
 pub struct Lines<B> {
     body: B,
-    held: BytesMut,
-    /// How much of `held` is known to have no line's end.
+    buffer: BytesMut,
+    /// Number of bytes at the start of `buffer` that contain no newline.
     searched: usize,
 }
 
 impl<B: Body<Data = Bytes, Error = hyper::Error> + Unpin> Lines<B> {
     pub fn new(body: B) -> Self {
-        Lines { body, held: BytesMut::new(), searched: 0 }
+        Lines { body, buffer: BytesMut::new(), searched: 0 }
     }
 
-    /// The next line without its end; none at the end of the body. What follows the last line's end counts
-    /// as a line too.
+    /// The next line without its newline, or `None` at the end of the body. A last line without a newline is
+    /// returned, too.
     pub async fn next(&mut self) -> Result<Option<Bytes>, LineError> {
         loop {
-            if let Some(at) = self.held[self.searched..].iter().position(|b| *b == b'\n') {
-                let mut line = self.held.split_to(self.searched + at + 1);
+            if let Some(at) = self.buffer[self.searched..].iter().position(|b| *b == b'\n') {
+                let mut line = self.buffer.split_to(self.searched + at + 1);
                 line.truncate(line.len() - 1);
                 self.searched = 0;
                 return Ok(Some(line.freeze()));
             }
-            self.searched = self.held.len();
-            if self.held.len() > MAX_BODY {
+            self.searched = self.buffer.len();
+            if self.buffer.len() > MAX_BODY {
                 return Err(LineError::TooLong);
             }
             match self.body.frame().await.transpose()? {
-                Some(frame) => self.held.extend_from_slice(frame.data_ref().map_or(&[], |d| d)),
-                None if self.held.is_empty() => return Ok(None),
+                Some(frame) => self.buffer.extend_from_slice(frame.data_ref().map_or(&[], |d| d)),
+                None if self.buffer.is_empty() => return Ok(None),
                 None => {
                     self.searched = 0;
-                    return Ok(Some(self.held.split().freeze()));
+                    return Ok(Some(self.buffer.split().freeze()));
                 }
             }
         }
     }
 
-    /// All that is left, as one piece.
-    pub async fn all(mut self) -> Result<Bytes, LineError> {
+    /// The rest of the body in one piece.
+    pub async fn read_rest(mut self) -> Result<Bytes, LineError> {
         while let Some(frame) = self.body.frame().await.transpose()? {
-            self.held.extend_from_slice(frame.data_ref().map_or(&[], |d| d));
-            if self.held.len() > MAX_BODY {
+            self.buffer.extend_from_slice(frame.data_ref().map_or(&[], |d| d));
+            if self.buffer.len() > MAX_BODY {
                 return Err(LineError::TooLong);
             }
         }
-        Ok(self.held.freeze())
+        Ok(self.buffer.freeze())
     }
 }
--- a/crates/channel/src/list_stream.rs
+++ b/crates/channel/src/list_stream.rs
@@ -1,4 +1,4 @@
-//! Splits what discovery writes into its objects, wherever the pieces and the lines of it end.
+//! Splits a discovery response into its JSON objects, wherever its chunks and lines end.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -11,27 +11,28 @@
 use thiserror::Error;
 use tokio::time::{timeout, timeout_at};
 
-/// Discovery says something at least every 2 s. An answer on which nothing came for longer is dead, whatever TCP says. What
-/// it missed counts 6 s after its last word, and a new one takes up to 2 s of them.
-pub const SILENCE: Duration = Duration::from_millis(2500);
-/// What had come before that time was up is read within this.
-const UNREAD: Duration = Duration::from_millis(50);
+/// Discovery sends something at least every 2 s. A response without data for longer than this is dead,
+/// whatever TCP reports. Updates missed on it are binding 6 s after the last message, and a new watch takes
+/// up to 2 s of those.
+pub const MAX_SILENCE: Duration = Duration::from_millis(2500);
+/// Time limit for reading data that arrived before the silence limit passed.
+const LATE_READ_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why an answer of discovery cannot be split into objects.
+/// Why a discovery response cannot be split into objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SplitError {
-    /// An object that is longer than any list may be.
-    #[error("found an object of over {MAX_LIST_BYTES} bytes, expected a list that is shorter")]
+    /// An object longer than any list may be.
+    #[error("found an object of over {MAX_LIST_BYTES} bytes, expected a shorter list")]
     TooLong,
-    /// Something that begins no object.
+    /// A byte that does not begin an object.
     #[error("found byte {0:#04x} between objects, expected an object or an empty line")]
-    NoObject(u8),
-    /// Discovery has nothing to tell, though it has not ended what it was telling.
-    #[error("found an empty line within an object, expected its end first")]
-    CutOff,
+    UnexpectedByte(u8),
+    /// A heartbeat, which is an empty line, arrived before the current object ended.
+    #[error("found an empty line within an object, expected the end of the object first")]
+    UnfinishedObject,
 }
 
-/// What discovery says at a time.
+/// One item of a discovery response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
     /// An empty line: nothing has changed.
@@ -40,35 +41,35 @@
     Object(Bytes),
 }
 
-/// Splits bytes into items. Each byte is looked at once, and no more than one object and one piece are held.
+/// Splits bytes into items. Each byte is scanned once, and the buffer holds at most one object and one chunk.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    /// What has come and was not given out; within an object it begins with that.
-    held: BytesMut,
-    /// How much of the object that has begun has been looked at.
+    /// Bytes received and not yet returned; within an object, the buffer begins at its first byte.
+    buffer: BytesMut,
+    /// Number of bytes of the current object that have been scanned.
     scanned: usize,
-    /// Brackets and braces that are open at `scanned`; none between objects.
+    /// Number of brackets and braces open at `scanned`; 0 between objects.
     depth: usize,
     in_string: bool,
-    /// The line on which `held` begins has held an object.
+    /// An object has ended on the line at which `buffer` begins.
     line_has_object: bool,
 }
 
 impl Splitter {
-    /// Adds what has come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an object has begun and not ended, as far as has been looked at.
+    /// Whether an object has begun and not ended within the scanned bytes.
     pub fn is_within_object(&self) -> bool {
         self.depth > 0
     }
 
-    /// The next item that is whole.
+    /// The next complete item, if there is one.
     ///
     /// # Errors
-    /// Says what stands where no item can; nothing can be read on from there.
+    /// Reports what was found where an item was expected. The rest of the response cannot be read.
     pub fn next_item(&mut self) -> Result<Option<Item>, SplitError> {
         if self.depth == 0 {
             if let Some(heartbeat) = self.skip_to_object()? {
@@ -79,49 +80,50 @@
             return Ok(None);
         }
         self.line_has_object = true;
-        let object = self.held.split_to(self.scanned).freeze();
+        let object = self.buffer.split_to(self.scanned).freeze();
         self.scanned = 0;
         Ok(Some(Item::Object(object)))
     }
 
-    /// Drops what stands before the next object and enters it; stops at an empty line.
+    /// Discards bytes up to the next object and enters it; stops at an empty line.
     fn skip_to_object(&mut self) -> Result<Option<Item>, SplitError> {
-        for at in 0..self.held.len() {
-            match self.held[at] {
+        for at in 0..self.buffer.len() {
+            match self.buffer[at] {
                 b'\n' if !self.line_has_object => {
-                    self.drop_first(at + 1);
+                    self.discard(at + 1);
                     return Ok(Some(Item::Heartbeat));
                 }
                 b'\n' => self.line_has_object = false,
                 byte if byte.is_ascii_whitespace() => {}
                 b'{' => {
-                    self.drop_first(at);
+                    self.discard(at);
                     (self.depth, self.scanned) = (1, 1);
                     return Ok(None);
                 }
-                byte => return Err(SplitError::NoObject(byte)),
+                byte => return Err(SplitError::UnexpectedByte(byte)),
             }
         }
-        self.held.clear();
+        self.buffer.clear();
         Ok(None)
     }
 
-    fn drop_first(&mut self, count: usize) {
-        let _ = self.held.split_to(count);
+    fn discard(&mut self, count: usize) {
+        let _ = self.buffer.split_to(count);
     }
 
-    /// Looks for the end of the object that has begun, up to which all is scanned then.
+    /// Scans for the end of the current object; returns whether it was found, in which case `scanned` is its
+    /// length.
     fn scan_object(&mut self) -> Result<bool, SplitError> {
-        while self.depth > 0 && self.scanned < self.held.len() {
+        while self.depth > 0 && self.scanned < self.buffer.len() {
             if self.in_string {
                 self.scan_string();
                 continue;
             }
-            match self.held[self.scanned] {
+            match self.buffer[self.scanned] {
                 b'"' => self.in_string = true,
                 b'{' | b'[' => self.depth += 1,
                 b'}' | b']' => self.depth -= 1,
-                b'\n' if self.is_line_empty() => return Err(SplitError::CutOff),
+                b'\n' if self.is_line_empty() => return Err(SplitError::UnfinishedObject),
                 _ => {}
             }
             self.scanned += 1;
@@ -132,10 +134,10 @@
         Ok(self.depth == 0)
     }
 
-    /// Goes on to the end of the string, or past the next escape, whose second byte may not be here yet. Strings of a list
-    /// are short: a plain loop is quicker than a search.
+    /// Scans to the end of the string, or past the next escape, whose second byte may not have arrived yet.
+    /// The strings of a list are short, so a plain loop is faster than a search routine.
     fn scan_string(&mut self) {
-        let rest = &self.held[self.scanned..];
+        let rest = &self.buffer[self.scanned..];
         let plain = rest.iter().take_while(|byte| !matches!(**byte, b'"' | b'\\')).count();
         self.scanned += plain;
         match rest.get(plain) {
@@ -145,52 +147,52 @@
         }
     }
 
-    /// Whether nothing stands on the line that ends at `scanned`.
+    /// Whether the line that ends at `scanned` is blank.
     fn is_line_empty(&self) -> bool {
-        let before = self.held[..self.scanned].iter().rev();
+        let before = self.buffer[..self.scanned].iter().rev();
         before.take_while(|byte| **byte != b'\n').all(u8::is_ascii_whitespace)
     }
 }
 
-/// Why nothing more can be read of an answer.
+/// Why a discovery response cannot be read any further.
 #[derive(Debug, Error)]
 pub enum StreamError {
     /// The connection broke.
     #[error("the connection broke: {0}")]
-    Broken(#[from] hyper::Error),
-    /// The answer ended within an object.
-    #[error("the answer ended within an object")]
-    EndedWithin,
-    /// What came makes no sense.
+    Connection(#[from] hyper::Error),
+    /// The response ended within an object.
+    #[error("the response ended within an object")]
+    Truncated,
+    /// The response is not a sequence of objects.
     #[error("{0}")]
     Split(#[from] SplitError),
-    /// Nothing came for too long.
-    #[error("nothing came for {SILENCE:?}")]
+    /// No data arrived for too long.
+    #[error("no data received for {MAX_SILENCE:?}")]
     Silent,
 }
 
-/// The body of an answer of discovery, item by item.
+/// The body of a discovery response, item by item.
 pub struct ListStream<B> {
     body: B,
     splitter: Splitter,
-    /// When something last came of which an item is made: spaces between objects are nothing.
-    progress: Instant,
-    /// What came after the time was up has been read since.
+    /// When data that belongs to an item last arrived; whitespace between objects does not count.
+    last_progress: Instant,
+    /// Data was read after the silence limit had passed.
     read_late: bool,
     receiving: Receiving,
 }
 
-/// Whether some of an object has come and the rest is still awaited; clones are the same.
+/// Whether part of an object has arrived and the rest is pending; clones share the state.
 #[derive(Clone, Debug, Default)]
 pub struct Receiving(Arc<AtomicBool>);
 
 impl Receiving {
-    /// Whether it is so now.
+    /// Whether an object is incomplete now.
     pub fn get(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 
-    /// Says whether it is so.
+    /// Sets whether an object is incomplete.
     pub fn set(&self, receiving: bool) {
         self.0.store(receiving, Ordering::Release);
     }
@@ -203,49 +205,50 @@
 }
 
 impl<B: Body<Data = Bytes, Error = hyper::Error> + Unpin> ListStream<B> {
-    /// A stream over this body, whose head has just come; `receiving` tells of it.
+    /// A stream over the body of a response whose head has just arrived; it keeps `receiving` up to date.
     pub fn new(body: B, receiving: Receiving) -> Self {
         ListStream {
             body,
             splitter: Splitter::default(),
-            progress: Instant::now(),
+            last_progress: Instant::now(),
             read_late: false,
             receiving,
         }
     }
 
-    /// The next item; none at the end of the body. An object may take as long to come as it likes, if some of it comes
-    /// all the time.
+    /// The next item, or `None` at the end of the body. An object may take any time to arrive, as long as
+    /// data keeps coming.
     ///
     /// # Errors
-    /// Says why nothing more can be read.
+    /// Reports why the response cannot be read any further.
     pub async fn next(&mut self) -> Result<Option<Item>, StreamError> {
         loop {
             let item = self.splitter.next_item()?;
             self.receiving.set(self.splitter.is_within_object());
             if item.is_some() || self.splitter.is_within_object() {
-                (self.progress, self.read_late) = (Instant::now(), false);
+                (self.last_progress, self.read_late) = (Instant::now(), false);
             }
             if item.is_some() {
                 return Ok(item);
             }
-            match self.next_piece().await? {
-                Some(piece) => self.splitter.push(&piece),
-                None if self.splitter.is_within_object() => return Err(StreamError::EndedWithin),
+            match self.next_chunk().await? {
+                Some(chunk) => self.splitter.push(&chunk),
+                None if self.splitter.is_within_object() => return Err(StreamError::Truncated),
                 None => return Ok(None),
             }
         }
     }
 
-    async fn next_piece(&mut self) -> Result<Option<Bytes>, StreamError> {
-        let dead_at = self.progress + SILENCE;
-        let frame = match timeout_at(dead_at.into(), self.body.frame()).await {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, StreamError> {
+        let silent_at = self.last_progress + MAX_SILENCE;
+        let frame = match timeout_at(silent_at.into(), self.body.frame()).await {
             Ok(frame) => frame,
             Err(_) if self.read_late => return Err(StreamError::Silent),
-            // Stopped for longer than that, this process wakes with its time up and news unread.
-            Err(_) => timeout(UNREAD, self.body.frame()).await.map_err(|_| StreamError::Silent)?,
+            // A process that was stopped for longer than the limit wakes up with the limit passed and data
+            // still unread.
+            Err(_) => timeout(LATE_READ_TIMEOUT, self.body.frame()).await.map_err(|_| StreamError::Silent)?,
         };
-        self.read_late = Instant::now() >= dead_at;
+        self.read_late = Instant::now() >= silent_at;
         let frame = frame.transpose()?;
         Ok(frame.map(|frame| frame.into_data().unwrap_or_default()))
     }
--- a/crates/channel/src/list_stream/tests.rs
+++ b/crates/channel/src/list_stream/tests.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// All items of a text that comes in pieces of these lengths, over and over.
-fn split(text: &[u8], pieces: &[usize]) -> Result<Vec<Item>, SplitError> {
+/// All items of a text that arrives in chunks of these lengths, repeated as needed.
+fn split(text: &[u8], chunks: &[usize]) -> Result<Vec<Item>, SplitError> {
     let (mut splitter, mut items, mut rest) = (Splitter::default(), Vec::new(), text);
-    for length in pieces.iter().cycle() {
-        let (piece, later) = rest.split_at((*length).min(rest.len()));
-        splitter.push(piece);
+    for length in chunks.iter().cycle() {
+        let (chunk, later) = rest.split_at((*length).min(rest.len()));
+        splitter.push(chunk);
         while let Some(item) = splitter.next_item()? {
             items.push(item);
         }
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn objects_end_with_their_last_brace_however_their_lines_end() {
+fn objects_end_at_their_last_brace_whatever_the_line_breaks() {
     let indented = "{\n  \"rev\": 1,\n  \"targets\": [\n    {\"uid\": \"}{\\\"\\\\\"}\n    ,{}\n  ]\n}";
     let text = format!("\n{{\"rev\":1}}\n\n{indented}\r\n{{\"a\":[]}}{{\"b\":\"\\n\"}} \n \t\n");
     let expected = [
@@ -37,27 +37,27 @@
         Item::Heartbeat,
     ];
     for length in 1..text.len() {
-        assert_eq!(split(text.as_bytes(), &[length]), Ok(expected.to_vec()), "pieces of {length}");
+        assert_eq!(split(text.as_bytes(), &[length]), Ok(expected.to_vec()), "chunks of {length}");
     }
 }
 
 #[test]
-fn what_begins_no_object_and_objects_that_stop_are_errors() {
+fn unexpected_bytes_and_unfinished_objects_are_errors() {
     let fails = |text: &str| split(text.as_bytes(), &[1]).expect_err("no item");
-    assert_eq!(fails("[1]\n"), SplitError::NoObject(b'['));
-    assert_eq!(fails("{} x"), SplitError::NoObject(b'x'));
-    assert_eq!(fails("{\"rev\":1,\n\n"), SplitError::CutOff);
-    assert_eq!(fails("{\"rev\":1,\n \r\n}"), SplitError::CutOff);
+    assert_eq!(fails("[1]\n"), SplitError::UnexpectedByte(b'['));
+    assert_eq!(fails("{} x"), SplitError::UnexpectedByte(b'x'));
+    assert_eq!(fails("{\"rev\":1,\n\n"), SplitError::UnfinishedObject);
+    assert_eq!(fails("{\"rev\":1,\n \r\n}"), SplitError::UnfinishedObject);
 }
 
 #[test]
-fn an_object_may_be_as_long_as_a_list_and_no_longer() {
+fn an_object_may_be_as_long_as_the_list_limit_and_no_longer() {
     let padded = |length: usize| [b"{", " ".repeat(length - 2).as_bytes(), b"}"].concat();
     for length in [MAX_LIST_BYTES - 1, MAX_LIST_BYTES] {
         let items = split(&padded(length), &[64 * 1024]).expect("an object");
         assert!(matches!(&items[..], [Item::Object(text)] if text.len() == length), "{length}");
     }
-    // One that never ends, a string that never ends, and one more byte than there may be.
+    // An object that never ends, a string that never ends, and an object one byte over the limit.
     assert_eq!(
         split(&[b"{\"".to_vec(), vec![b'a'; 2 * MAX_LIST_BYTES]].concat(), &[64 * 1024]),
         Err(SplitError::TooLong)
@@ -67,23 +67,23 @@
 }
 
 #[test]
-fn spaces_between_objects_are_not_held() {
+fn whitespace_between_objects_is_not_buffered() {
     let mut splitter = Splitter::default();
     for _ in 0..1_000 {
         splitter.push(&[b' '; 10_000]);
         assert_eq!(splitter.next_item(), Ok(None));
-        assert!(splitter.held.is_empty());
+        assert!(splitter.buffer.is_empty());
     }
 }
 
 proptest! {
-    /// However a text is cut into pieces, the same items come of it.
+    /// The items of a text don't depend on how it is cut into chunks.
     #[test]
-    fn pieces_make_no_difference(
+    fn items_do_not_depend_on_the_chunks(
         lines in proptest::collection::vec("\\{(\"[a-z{}\\[\\]]{0,4}\":\"(\\\\\\\\|\\\\\"|[a-z}]){0,5}\",?\n?){0,3}\\}|", 0..6),
-        pieces in proptest::collection::vec(1usize..9, 1..5),
+        chunks in proptest::collection::vec(1usize..9, 1..5),
     ) {
         let text = lines.join("\n");
-        prop_assert_eq!(split(text.as_bytes(), &pieces), split(text.as_bytes(), &[text.len().max(1)]));
+        prop_assert_eq!(split(text.as_bytes(), &chunks), split(text.as_bytes(), &[text.len().max(1)]));
     }
 }
--- a/crates/channel/src/membership.rs
+++ b/crates/channel/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which log workers there are: passes what discovery tells on to the subchannels and the decisions.
+//! Fleet membership: passes the results of the resolver on to the subchannels and the dispatcher.
 
 use std::future::Future;
 use std::sync::atomic::Ordering;
@@ -9,61 +9,62 @@
 use tokio::sync::{mpsc, watch};
 
 use super::fleet::Fleet;
-use super::resolver::{Failure, Order, Resolver, ResolverResult};
+use super::resolver::{Command, Failure, Resolver, ResolverResult};
 use super::start_times::StartTimes;
 use super::subchannel::{lock, Call, NO_WATCH};
 use rookspoke_config::{Config, Target, Update};
 use rookspoke_decisions::{Discovery, ListScope, Listing, Name, Readiness};
 use rookspoke_dispatch::{Counters, Handle};
 
-/// How long discovery may stay silent at the start before the list last known counts as the first.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long discovery may stay silent at the start before the list remembered from the previous process
+/// counts as the first one.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Feeds resolver results to subchannels and decisions. If discovery stays silent at the start, the list
-/// last known has to do.
+/// Feeds resolver results to the subchannels and the dispatcher. If discovery stays silent at the start, the
+/// remembered list is used.
 pub fn discover(
     config: &Config,
     handle: Handle<Arc<Call>, Bytes>,
     fleet: Fleet,
-    orders: mpsc::Receiver<Order>,
+    commands: mpsc::Receiver<Command>,
     ready: watch::Sender<bool>,
 ) -> impl Future<Output = ()> + Send + 'static {
     let known = config.known.clone();
     let pushed = config.settings.discovery == Discovery::Automatic;
-    let resolver = Resolver::new(config.source.clone(), known.as_ref().map(|k| k.rev), pushed);
+    let resolver = Resolver::new(config.source.clone(), known.as_ref().map(|list| list.rev), pushed);
     let clock = fleet.shared.clock;
     let ready = Arc::new(ready);
     async move {
-        // Without any list, too, the decisions must hear of their start: they ask for lists from then on.
         let start_times = Arc::new(Mutex::new(StartTimes::default()));
-        let take = {
+        let apply = {
             let (handle, fleet, start_times) = (handle.clone(), fleet.clone(), start_times.clone());
             move |scope, update: &Update| {
-                report_unreadable(handle.counters(), update);
-                take_update(&start_times, &fleet, scope, update)
+                report_skipped_entries(handle.counters(), update);
+                apply_update(&start_times, &fleet, scope, update)
             }
         };
-        let entries = known.as_ref().map(|known| take(ListScope::Remembered, known));
+        let entries = known.as_ref().map(|known| apply(ListScope::Remembered, known));
+        // The dispatcher needs this call even without a remembered list: it requests no list before it.
         handle.list(ListScope::Remembered, entries.unwrap_or_default()).await;
         if known.is_some() {
             let ready = ready.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(PATIENCE).await;
+                tokio::time::sleep(FIRST_LIST_TIMEOUT).await;
                 ready.send_replace(true);
             });
         }
-        let tell = |result| {
+        let on_result = |result| {
             let (handle, fleet, ready) = (handle.clone(), fleet.clone(), ready.clone());
-            let take = take.clone();
+            let apply = apply.clone();
             async move {
                 match result {
-                    ResolverResult::Word(at) => {
-                        let word = at.map_or(NO_WATCH, |at| clock.at(at).0);
-                        fleet.shared.last_word.store(word, Ordering::Release);
+                    ResolverResult::WatchMessage(at) => {
+                        let at = at.map_or(NO_WATCH, |at| clock.at(at).0);
+                        fleet.shared.last_watch_message.store(at, Ordering::Release);
                     }
                     ResolverResult::Update(scope, update) => {
-                        let entries = take(scope, &update);
-                        fleet.shared.list_unread.store(false, Ordering::Release);
+                        let entries = apply(scope, &update);
+                        fleet.shared.list_unreadable.store(false, Ordering::Release);
                         handle.list(scope, entries).await;
                         ready.send_replace(true);
                     }
@@ -71,11 +72,11 @@
                         handle.list(ListScope::Failed, Arc::new([])).await;
                     }
                     ResolverResult::Failed(Failure::Unusable) => {
-                        fleet.shared.list_unread.store(true, Ordering::Release);
+                        fleet.shared.list_unreadable.store(true, Ordering::Release);
                         handle.counters().lists_unusable.add();
                         handle.list(ListScope::Unusable, Arc::new([])).await;
                     }
-                    ResolverResult::Moved => handle.list(ListScope::Moved, Arc::new([])).await,
+                    ResolverResult::SourceChanged => handle.list(ListScope::Moved, Arc::new([])).await,
                     ResolverResult::Silent(since) => {
                         let since = clock.at(since);
                         handle.list(ListScope::Silent { since }, Arc::new([])).await;
@@ -83,24 +84,24 @@
                 }
             }
         };
-        resolver.run(orders, tell).await;
+        resolver.run(commands, on_result).await;
     }
 }
 
-/// Counts and logs entries that were left out.
-fn report_unreadable(counters: &Counters, update: &Update) {
+/// Counts and logs entries that were skipped.
+fn report_skipped_entries(counters: &Counters, update: &Update) {
     let Some(first) = update.unreadable.first() else { return };
     let count = update.unreadable.len();
     counters.list_entries_unreadable.add_many(count);
     tracing::error!(
         version = update.rev,
         count,
-        "discovery: entries that make no sense are left out, such as {first}"
+        "discovery: invalid list entries are skipped, the first one is {first}"
     );
 }
 
-/// Passes an update on to the subchannels; gives its entries as the decisions take them.
-fn take_update(
+/// Applies an update to the subchannels and returns its entries for the dispatcher.
+fn apply_update(
     start_times: &Mutex<StartTimes>,
     fleet: &Fleet,
     scope: ListScope,
@@ -109,15 +110,15 @@
     let mut entries: Vec<Listing> = update.targets.iter().map(Target::listing).collect();
     fleet.apply(scope, update, &entries);
     if scope == ListScope::Changes {
-        let named = update.unreadable.iter().filter_map(|entry| entry.worker.clone());
-        entries.extend(named.filter(|name| fleet.get(name).is_some()).map(drained));
+        let skipped = update.unreadable.iter().filter_map(|entry| entry.worker.clone());
+        entries.extend(skipped.filter(|name| fleet.get(name).is_some()).map(draining_entry));
     }
     lock(start_times).correct(scope, &mut entries, fleet.shared.clock.now());
     entries.into()
 }
 
-/// What is done about a log worker of which something unknown was told: nothing new goes there.
-fn drained(worker: Name) -> Listing {
+/// The entry that stands in for an unreadable one: the log worker gets no new requests.
+fn draining_entry(worker: Name) -> Listing {
     Listing {
         worker,
         kind: "".into(),
--- a/crates/channel/src/resolver.rs
+++ b/crates/channel/src/resolver.rs
@@ -1,4 +1,4 @@
-//! Discovery: asks for the list of log workers and follows its changes.
+//! The resolver: fetches the list of log workers from service discovery and watches it for changes.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,156 +15,159 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::list_stream::{Item, ListStream, Receiving, StreamError, SILENCE};
+use super::list_stream::{Item, ListStream, Receiving, StreamError, MAX_SILENCE};
 use super::stream::Stream;
 use rookspoke_config::{ListSource, Update};
 use rookspoke_decisions::ListScope;
 
 const PATH: &str = "/registry/instances";
-/// An answer that takes longer counts as failed; discovery itself gives up on a call after 2 s.
+/// A call without a response by then has failed; discovery itself gives up on a call after 2 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2200);
-/// The same of an agent to which lists are pushed: its news counts at once, so no call is waited for long,
+/// The same limit for a local agent to which lists are pushed. Changes are binding as soon as they reach the
+/// agent, so a call to it must not take long.
 const AGENT_TIMEOUT: Duration = Duration::from_millis(300);
-/// but for every eighth, lest one that is always slower be never heard.
-const AGENT_PATIENCE: (u32, Duration) = (8, Duration::from_secs(1));
-/// A resolver result: what a call or a watch brought.
+/// Every eighth call to the agent after failures gets this longer limit, so that an agent that always needs
+/// more than the short one can succeed.
+const AGENT_LONG_TIMEOUT: (u32, Duration) = (8, Duration::from_secs(1));
+/// What a call or a watch produced.
 #[derive(Clone, Debug)]
 pub enum ResolverResult {
-    /// A watch is open, whose last word came then; or none is.
-    Word(Option<Instant>),
-    /// News of the list.
+    /// When the open watch last received a message; `None` if no watch is open.
+    WatchMessage(Option<Instant>),
+    /// A list or a change of it.
     Update(ListScope, Arc<Update>),
     /// The call failed or the watch broke.
     Failed(Failure),
-    /// The watch was given up; its last word came then.
+    /// The watch was given up as silent; its last message arrived then.
     Silent(Instant),
-    /// What comes from now on comes from elsewhere.
-    Moved,
+    /// Further results come from another source.
+    SourceChanged,
 }
 
-/// What a failed call says of discovery.
+/// What a failed call means for further calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It could not be reached, refused, or broke off: asked again, it may answer.
+    /// Discovery could not be reached, refused the call or broke it off; a retry may succeed.
     Unavailable,
-    /// It answered, and the answer cannot be taken: asked again, it may well say the same.
+    /// Discovery responded with something unusable; a retry may well get the same response.
     Unusable,
 }
 
 /// Why a call to discovery failed.
 #[derive(Debug, Error)]
 enum CallError {
-    #[error("no connection: {0}")]
+    #[error("connection failed: {0}")]
     Connect(#[from] std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("status {0}")]
+    #[error("found status {0}, expected 200")]
     Status(u16),
-    #[error("no answer in time")]
-    NoAnswer(#[from] tokio::time::error::Elapsed),
+    #[error("no response within the time limit")]
+    Timeout(#[from] tokio::time::error::Elapsed),
     #[error("the watch was silent for {:?}", .0.elapsed())]
     Silent(Instant),
     #[error("{0}")]
     Stream(#[from] StreamError),
-    #[error("unreadable: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    #[error("the watch ended")]
-    Ended,
+    #[error("invalid list: {0}")]
+    InvalidList(#[from] serde_json::Error),
+    #[error("the response ended without another list")]
+    EndOfStream,
 }
 
 impl CallError {
     fn failure(&self) -> Failure {
         match self {
-            CallError::Stream(StreamError::Split(_)) | CallError::Unreadable(_) => Failure::Unusable,
+            CallError::Stream(StreamError::Split(_)) | CallError::InvalidList(_) => Failure::Unusable,
             _ => Failure::Unavailable,
         }
     }
 }
 
-/// What a resolver is asked to do.
+/// A command to the resolver.
 #[derive(Clone, Debug)]
-pub enum Order {
-    /// Follow the list; a watch that is on starts over.
+pub enum Command {
+    /// Watch the list; a watch that is already open starts over.
     Watch,
-    /// Read the whole list once.
+    /// Fetch the complete list once.
     Fetch,
-    /// The list comes from elsewhere now: leave the old address, and follow it from there.
-    Move(ListSource),
+    /// Leave the current source and watch the list at this one.
+    SetSource(ListSource),
 }
 
 /// Follows one source of the list at a time.
 pub struct Resolver {
     source: ListSource,
-    /// The version held, from which a new watch goes on.
+    /// The list version in effect, from which a new watch continues.
     rev: Option<u64>,
-    /// Lists are pushed to an agent nearby, which is asked here.
+    /// Lists are pushed to a local agent, and calls go to that agent.
     pushed: bool,
-    /// Calls that failed since the last that did not.
-    failed: u32,
-    /// Of the answer that is being read.
+    /// Number of failed calls since the last successful one.
+    failures: u32,
+    /// State of the response that is being read.
     receiving: Receiving,
 }
 
 impl Resolver {
-    /// A resolver that holds the list of version `rev`, if any; `pushed` where an agent nearby is told unasked.
+    /// A resolver that starts from list version `rev`, if there is one. `pushed` says that lists are pushed
+    /// to a local agent.
     pub fn new(source: ListSource, rev: Option<u64>, pushed: bool) -> Self {
-        Resolver { source, rev, pushed, failed: 0, receiving: Receiving::default() }
+        Resolver { source, rev, pushed, failures: 0, receiving: Receiving::default() }
     }
 
-    /// How long the next call may take.
-    fn patience(&self) -> Duration {
-        let (every, long) = AGENT_PATIENCE;
+    /// Time limit of the next call.
+    fn call_timeout(&self) -> Duration {
+        let (interval, long_timeout) = AGENT_LONG_TIMEOUT;
         match self.pushed {
-            true if self.failed % every == every - 1 => long,
+            true if self.failures % interval == interval - 1 => long_timeout,
             true => AGENT_TIMEOUT,
             false => CALL_TIMEOUT,
         }
     }
 
-    /// Carries out orders until their sender is gone; each result goes to `tell`, in order.
-    pub async fn run<F, Fut>(mut self, mut orders: mpsc::Receiver<Order>, tell: F)
+    /// Executes commands until their sender is dropped. Results are passed to `notify` in order.
+    pub async fn run<F, Fut>(mut self, mut commands: mpsc::Receiver<Command>, notify: F)
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
-        let mut order = orders.recv().await;
-        while let Some(now) = order.take() {
-            let watches = matches!(now, Order::Watch | Order::Move(_));
-            if let Order::Move(source) = now {
-                tracing::info!("the list comes from {} now, and no longer from {}", source, self.source);
-                // What another service calls a version proves nothing here.
+        let mut command = commands.recv().await;
+        while let Some(current) = command.take() {
+            let watches = matches!(current, Command::Watch | Command::SetSource(_));
+            if let Command::SetSource(source) = current {
+                tracing::info!("list source changed to {}, formerly {}", source, self.source);
+                // Versions of different services are not comparable.
                 (self.source, self.rev) = (source, None);
-                tell(ResolverResult::Moved).await;
+                notify(ResolverResult::SourceChanged).await;
             }
-            let done = self.call_until_ordered(watches, &mut orders, &tell).await;
-            tell(ResolverResult::Word(None)).await;
-            order = match done {
-                Ok(done) => {
-                    if let Err(error) = done {
-                        tell(self.failed(error)).await;
+            let outcome = self.call_until_command(watches, &mut commands, &notify).await;
+            notify(ResolverResult::WatchMessage(None)).await;
+            command = match outcome {
+                Ok(outcome) => {
+                    if let Err(error) = outcome {
+                        notify(self.record_failure(error)).await;
                     }
-                    orders.recv().await
+                    commands.recv().await
                 }
-                Err(next @ Order::Move(_)) => Some(next),
-                // Asked again, the watch starts over from the version held; where the whole list is wanted,
-                // from none.
+                Err(next @ Command::SetSource(_)) => Some(next),
+                // A repeated watch continues from the version in effect. If the complete list is wanted, the
+                // watch starts over without a version.
                 Err(next) => {
-                    self.rev = self.rev.filter(|_| matches!(next, Order::Watch));
-                    Some(if watches { Order::Watch } else { next })
+                    self.rev = self.rev.filter(|_| matches!(next, Command::Watch));
+                    Some(if watches { Command::Watch } else { next })
                 }
             };
         }
     }
 
-    /// Watches, or reads the whole list once, until that ends or an order comes that it stands in the way of. An order
-    /// drops what is under way, and with it the connection; but a list that is coming in is what a further order to
-    /// watch asks for.
-    async fn call_until_ordered<F, Fut>(
+    /// Watches the list, or fetches it once, until that ends or another command interrupts it. An interrupted
+    /// call is dropped together with its connection. A further `Watch` command does not interrupt a watch
+    /// that is receiving a list, since that list is what the command asks for.
+    async fn call_until_command<F, Fut>(
         &mut self,
         watches: bool,
-        orders: &mut mpsc::Receiver<Order>,
-        tell: &F,
-    ) -> Result<Result<(), CallError>, Order>
+        commands: &mut mpsc::Receiver<Command>,
+        notify: &F,
+    ) -> Result<Result<(), CallError>, Command>
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
@@ -174,33 +177,34 @@
         let call = async {
             match source {
                 ListSource::Fixed(list) => {
-                    tell(ResolverResult::Update(ListScope::Complete, list)).await;
+                    notify(ResolverResult::Update(ListScope::Complete, list)).await;
                     Ok(())
                 }
-                ListSource::Discovery(address) if watches => self.watch(address, tell).await,
-                ListSource::Discovery(address) => self.fetch(address, tell).await,
+                ListSource::Discovery(address) if watches => self.watch(address, notify).await,
+                ListSource::Discovery(address) => self.fetch(address, notify).await,
             }
         };
         tokio::pin!(call);
         loop {
             tokio::select! {
-                done = &mut call => return Ok(done),
-                Some(next) = orders.recv() => match next {
-                    Order::Watch if watches && receiving.get() => {}
+                outcome = &mut call => return Ok(outcome),
+                Some(next) = commands.recv() => match next {
+                    Command::Watch if watches && receiving.get() => {}
                     next => return Err(next),
                 },
             }
         }
     }
 
-    /// Notes and logs that a call failed.
-    fn failed(&mut self, error: CallError) -> ResolverResult {
-        self.failed = self.failed.saturating_add(1);
-        let (version, failed) = (self.rev, self.failed);
+    /// Counts and logs a failed call.
+    fn record_failure(&mut self, error: CallError) -> ResolverResult {
+        self.failures = self.failures.saturating_add(1);
+        let (version, failed) = (self.rev, self.failures);
         if error.failure() == Failure::Unusable {
-            // Asked for the same changes again, it may say the same again.
+            // A request for the same changes may get the same response again, so the next call asks for the
+            // complete list.
             self.rev = None;
-            tracing::error!(?version, failed, "discovery: its answer cannot be used: {error}");
+            tracing::error!(?version, failed, "discovery: the response cannot be used: {error}");
         } else {
             tracing::info!(?version, failed, "discovery: {error}");
         }
@@ -210,46 +214,48 @@
         }
     }
 
-    async fn fetch<F, Fut>(&mut self, address: SocketAddr, tell: &F) -> Result<(), CallError>
+    async fn fetch<F, Fut>(&mut self, address: SocketAddr, notify: &F) -> Result<(), CallError>
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
-        let (_connection, mut stream) = timeout(self.patience(), self.call(address, PATH)).await??;
+        let (_connection, mut stream) = timeout(self.call_timeout(), self.call(address, PATH)).await??;
         let item = stream.next().await?;
-        let Some(Item::Object(object)) = item else { return Err(CallError::Ended) };
-        self.take(&object, tell).await
+        let Some(Item::Object(object)) = item else { return Err(CallError::EndOfStream) };
+        self.apply(&object, notify).await
     }
 
-    async fn watch<F, Fut>(&mut self, address: SocketAddr, tell: &F) -> Result<(), CallError>
+    async fn watch<F, Fut>(&mut self, address: SocketAddr, notify: &F) -> Result<(), CallError>
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
         let path = format!("{PATH}?watch=1&after={}", self.rev.unwrap_or(0));
-        let (_connection, mut stream) = timeout(self.patience(), self.call(address, &path)).await??;
-        let mut heard = None;
+        let (_connection, mut stream) = timeout(self.call_timeout(), self.call(address, &path)).await??;
+        let mut last_message = None;
         loop {
-            let item = match (stream.next().await, heard) {
+            let item = match (stream.next().await, last_message) {
                 (Ok(Some(item)), _) => item,
                 (Err(error @ StreamError::Split(_)), _) => return Err(error.into()),
-                // A head alone is no word of the list: the call failed.
+                // A response head alone says nothing about the list: silence without an earlier message is a
+                // failed call.
                 (Err(StreamError::Silent), Some(since)) => return Err(CallError::Silent(since)),
-                // It may have broken long before this process came to see it.
-                (_, Some(since)) if since.elapsed() > SILENCE => return Err(CallError::Silent(since)),
-                (item, _) => item?.ok_or(CallError::Ended)?,
+                // The watch may have broken long before this process noticed.
+                (_, Some(since)) if since.elapsed() > MAX_SILENCE => return Err(CallError::Silent(since)),
+                (item, _) => item?.ok_or(CallError::EndOfStream)?,
             };
             let now = Instant::now();
-            let first = heard.replace(now).is_none();
-            tell(ResolverResult::Word(Some(now))).await;
+            let first = last_message.replace(now).is_none();
+            notify(ResolverResult::WatchMessage(Some(now))).await;
             if first {
-                tracing::info!("discovery: a watch is open");
+                tracing::info!("discovery: watch established");
             }
             match (item, self.rev) {
-                (Item::Object(object), _) => self.take(&object, tell).await?,
-                // Nothing has changed since the version held: that is news of a list that had been in doubt.
+                (Item::Object(object), _) => self.apply(&object, notify).await?,
+                // Nothing has changed since the version in effect. This confirms a list that may have been in
+                // doubt.
                 (Item::Heartbeat, Some(rev)) if first => {
-                    self.pass_on(Update::new(rev, false, Vec::new()), tell).await;
+                    self.deliver(Update::new(rev, false, Vec::new()), notify).await;
                 }
                 (Item::Heartbeat, _) => {}
             }
@@ -267,7 +273,8 @@
             let _ = connection.await;
         }));
         let request = Request::get(path).header(http::header::HOST, address.to_string());
-        let request = request.body(Empty::<Bytes>::new()).expect("a path and an address make a request");
+        let request =
+            request.body(Empty::<Bytes>::new()).expect("the path and the address form a valid request");
         let response = sender.send_request(request).await?;
         match response.status().as_u16() {
             200 => Ok((task, ListStream::new(response.into_body(), self.receiving.clone()))),
@@ -275,36 +282,44 @@
         }
     }
 
-    /// Reads an object and passes it on.
-    async fn take<F, Fut>(&mut self, object: &[u8], tell: &F) -> Result<(), CallError>
+    /// Parses a list object and delivers it.
+    async fn apply<F, Fut>(&mut self, object: &[u8], notify: &F) -> Result<(), CallError>
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
-        let begun = Instant::now();
+        let started = Instant::now();
         let update = Update::read(object)?;
         let (version, entries, unreadable) = (update.rev, update.targets.len(), update.unreadable.len());
         let complete = update.all;
-        self.pass_on(update, tell).await;
-        let (bytes, took_us) = (object.len(), begun.elapsed().as_micros() as u64);
-        tracing::info!(version, entries, unreadable, complete, bytes, took_us, "discovery: a list is taken");
+        self.deliver(update, notify).await;
+        let (bytes, took_us) = (object.len(), started.elapsed().as_micros() as u64);
+        tracing::info!(
+            version,
+            entries,
+            unreadable,
+            complete,
+            bytes,
+            took_us,
+            "discovery: list update applied"
+        );
         Ok(())
     }
 
-    async fn pass_on<F, Fut>(&mut self, update: Update, tell: &F)
+    async fn deliver<F, Fut>(&mut self, update: Update, notify: &F)
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
         let scope = if update.all { ListScope::Complete } else { ListScope::Changes };
         let rev = update.rev;
-        tell(ResolverResult::Update(scope, Arc::new(update))).await;
-        // Not before: what an order cuts off here is told again.
-        (self.rev, self.failed) = (Some(rev), 0);
+        notify(ResolverResult::Update(scope, Arc::new(update))).await;
+        // Set only now, so that an update whose delivery is interrupted by a command is requested again.
+        (self.rev, self.failures) = (Some(rev), 0);
     }
 }
 
-/// Ends a connection's task, and with it the connection.
+/// Aborts a connection's task when dropped, which closes the connection.
 pub(super) struct ConnectionTask(pub tokio::task::JoinHandle<()>);
 
 impl Drop for ConnectionTask {
--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -1,4 +1,5 @@
-//! A subchannel: the way to one log worker, with its idle connections and its job answers.
+//! A subchannel manages the connections to one log worker, sends call attempts and probes on them, and reads
+//! the responses.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,89 +19,94 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-use super::connection::{Broke, Connection};
+use super::connection::{Connection, SendError};
 use super::lines::Lines;
-use super::{headers, report, Notes};
+use super::{headers, report, ProgressSink};
 use rookspoke_decisions::{LoadReport, Name, Note, Outcome, Time, TOLD_WITHIN};
 use rookspoke_dispatch::{CallAttempt, Clock, Counters, Ended, Probed};
 use rookspoke_wire::Vocabulary;
 
-/// Idle connections kept to one log worker.
+/// Upper bound of idle connections per log worker.
 const MAX_IDLE: usize = 16;
-/// A probe unanswered for this long has failed.
+/// A probe without a response by then has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// What follows the object that ends an attempt is read for this long, so that the connection can be kept.
-const TAIL_TIMEOUT: Duration = Duration::from_millis(500);
-/// A log worker not heard of for this long may have vanished with its machine: what is written to a kept
-/// connection then hangs to its deadline, while a new connection fails at once and proves that nothing ran.
-const UNHEARD: Duration = Duration::from_millis(1500);
-/// After a kept connection broke under a request, those that must not run twice go over new ones for this long.
-const DISTRUST: Duration = Duration::from_secs(30);
-
-/// What of a request goes to a log worker, as it came.
+/// Time limit for reading the rest of a response after the object that ended its attempt, so that the
+/// connection can be reused.
+const BODY_REST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle connections are not reused after a log worker has been silent for this long, since its machine may
+/// have vanished. Data written to such a connection would hang until the deadline, while a new connection
+/// fails at once and proves that the request did not run.
+const MAX_REUSE_SILENCE: Duration = Duration::from_millis(1500);
+/// For this long after a reused connection broke under a request, requests that must not run twice use new
+/// connections.
+const STALE_CONNECTION_PENALTY: Duration = Duration::from_secs(30);
+
+/// The parts of a client's request that are forwarded to a log worker unchanged.
 #[derive(Debug)]
 pub struct Call {
-    /// The method.
     pub method: Method,
-    /// Path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// `X-Correlation-Id`, which every object of the answer repeats.
+    /// `X-Correlation-Id`, which every object of the response repeats.
     pub id: HeaderValue,
-    /// The body.
     pub body: Bytes,
-    /// It must never run twice: once written, it can go nowhere else.
-    pub once: bool,
-    /// Nobody waits for its answer any more: the client has it, or has left.
-    pub over: AtomicBool,
+    /// The request must not run twice: once written to one log worker, it must not be sent to another.
+    pub at_most_once: bool,
+    /// The client has its answer or has gone, so nothing needs to be sent any more.
+    pub finished: AtomicBool,
 }
 
-/// What all subchannels share.
+/// State shared by all subchannels.
 pub struct Shared {
     pub clock: Clock,
-    pub words: Vocabulary,
-    pub notes: Notes,
+    pub vocabulary: Vocabulary,
+    pub progress: ProgressSink,
     pub counters: Arc<Counters>,
-    /// Every connection to a log worker holds a permit.
-    pub room: Arc<Semaphore>,
-    /// Permits that are not to be used now.
-    pub spare: AtomicUsize,
+    /// Every open connection to a log worker holds one permit.
+    pub permits: Arc<Semaphore>,
+    /// Permits that are currently left unused.
+    pub reserved_permits: AtomicUsize,
     pub connect_timeout: Duration,
-    /// Connections idle for this long are closed: long before their log worker does it.
+    /// Connections idle for this long are closed, well before their log worker would close them.
     pub max_idle: Duration,
-    /// When a kept connection last broke under a request, to whichever log worker: what closes them stands
-    /// before them all.
-    pub severed: Mutex<Option<Instant>>,
-    /// The last word of the watch that is open, in the clock's microseconds; see [`Shared::list_holds`].
-    pub last_word: AtomicI64,
-    /// All subchannels, of which the oldest idle connection makes room for a new one.
+    /// When a reused connection last broke under a request, to any log worker: what closes such connections
+    /// sits in front of all of them.
+    pub stale_connection_at: Mutex<Option<Instant>>,
+    /// When the open watch last received a message, in microseconds of the clock; see
+    /// [`Shared::is_list_valid`].
+    pub last_watch_message: AtomicI64,
+    /// All subchannels; at the connection limit, the connection idle for longest among them is closed.
     pub subchannels: OnceLock<Weak<Mutex<FxHashMap<Name, Subchannel>>>>,
-    /// Something was told of the list that could not be read, and no list was read since.
-    pub list_unread: AtomicBool,
+    /// Part of a list could not be read, and no list has been read since.
+    pub list_unreadable: AtomicBool,
 }
 
-/// No watch is open: how long the list holds then, the decisions know.
+/// Value of `last_watch_message` while no watch is open; the dispatcher alone then decides how long the list
+/// is valid.
 pub const NO_WATCH: i64 = i64::MAX;
 
 impl Shared {
-    /// Room for one more connection, if need be in the place of the one that has been idle for longest.
-    fn take_room(&self) -> Option<OwnedSemaphorePermit> {
-        self.free_room().or_else(|| {
+    /// A permit for one more connection; if none is left, the connection idle for longest is closed to free
+    /// one.
+    fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
+        self.try_acquire_permit().or_else(|| {
             self.close_oldest_idle();
-            self.free_room()
+            self.try_acquire_permit()
         })
     }
 
-    fn free_room(&self) -> Option<OwnedSemaphorePermit> {
-        let is_left = self.room.available_permits() > self.spare.load(Ordering::Relaxed);
-        is_left.then(|| self.room.clone().try_acquire_owned().ok()).flatten()
+    fn try_acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
+        let available = self.permits.available_permits() > self.reserved_permits.load(Ordering::Relaxed);
+        available.then(|| self.permits.clone().try_acquire_owned().ok()).flatten()
     }
 
     fn close_oldest_idle(&self) {
         let Some(subchannels) = self.subchannels.get().and_then(Weak::upgrade) else { return };
         let subchannels = lock(&subchannels);
-        let idle_since = |subchannel: &&Subchannel| lock(&subchannel.0.idle).front().map(|c| c.idle_since);
+        let idle_since = |subchannel: &&Subchannel| {
+            lock(&subchannel.0.idle).front().map(|connection| connection.idle_since)
+        };
         let idle = subchannels.values().filter(|subchannel| idle_since(subchannel).is_some());
         if let Some(oldest) = idle.min_by_key(idle_since) {
             lock(&oldest.0.idle).pop_front();
@@ -108,11 +114,12 @@
         }
     }
 
-    /// Whether the list may still be gone by, as far as an open watch tells. One that has been silent for so long is
-    /// dead, though a late turn of this process may not have noticed yet.
-    fn list_holds(&self, now: Time) -> bool {
-        !self.list_unread.load(Ordering::Acquire)
-            && Time(self.last_word.load(Ordering::Acquire)) + TOLD_WITHIN > now
+    /// Whether the list may still be used, judged by the open watch and by unreadable updates. A watch that
+    /// has been silent for `TOLD_WITHIN` is dead, even if this process was scheduled too late to have
+    /// noticed.
+    fn is_list_valid(&self, now: Time) -> bool {
+        !self.list_unreadable.load(Ordering::Acquire)
+            && Time(self.last_watch_message.load(Ordering::Acquire)) + TOLD_WITHIN > now
     }
 }
 
@@ -121,35 +128,36 @@
     shared: Arc<Shared>,
     address: Mutex<SocketAddr>,
     ready: AtomicBool,
-    /// Taken out by hand: not even a probe goes there.
+    /// Banned by an operator: not even probes are sent.
     banned: AtomicBool,
-    /// The start of the log worker's process.
+    /// Identifies the log worker's process by its start time.
     epoch: AtomicU64,
     idle: Mutex<VecDeque<Connection>>,
-    /// When its machine last gave a sign of life.
-    heard: Mutex<Instant>,
+    /// When the log worker's machine last showed that it is alive.
+    last_activity: Mutex<Instant>,
 }
 
-/// The way to one log worker; clones share it.
+/// The subchannel to one log worker; clones share its connections.
 #[derive(Clone)]
 pub struct Subchannel(Arc<Inner>);
 
-/// What goes over a connection, by what it loses with one that leads nowhere.
+/// What a connection is used for, which decides what is lost if the connection turns out dead.
 #[derive(Clone, Copy, PartialEq)]
-enum What {
-    /// A request that must never run twice: its answer.
-    Once,
-    /// A request that may be sent again: its time.
-    Again,
-    /// A probe: nothing but the probe. It finds out for the request after it whether somebody is there.
+enum Purpose {
+    /// A request that must not run twice: the answer is lost.
+    AtMostOnce,
+    /// A request that may be sent again: only time is lost.
+    Retryable,
+    /// A probe: nothing else is lost. It may use a connection that has been silent, and shows whether the log
+    /// worker is still reachable before the next request is sent.
     Probe,
 }
 
-/// A failed attempt, by how it ended.
-type Failed = Outcome;
+/// How a failed attempt ended.
+type AttemptError = Outcome;
 
 #[derive(Deserialize)]
-struct JobLine<'a> {
+struct JobState<'a> {
     id: String,
     state: String,
     share: Option<f64>,
@@ -168,11 +176,11 @@
             banned: AtomicBool::new(false),
             epoch: AtomicU64::new(0),
             idle: Mutex::default(),
-            heard: Mutex::new(Instant::now()),
+            last_activity: Mutex::new(Instant::now()),
         }))
     }
 
-    /// What discovery now says. Connections to an earlier process are of no use.
+    /// Applies an entry of the list. Idle connections to a former address or an earlier process are closed.
     pub fn update(&self, address: SocketAddr, ready: bool, epoch: u64) {
         let inner = &self.0;
         let moved = std::mem::replace(&mut *lock(&inner.address), address) != address;
@@ -182,12 +190,13 @@
         self.set_ready(ready);
     }
 
-    /// Whether new work may be sent.
+    /// Sets whether new requests may be sent.
     pub fn set_ready(&self, ready: bool) {
         self.0.ready.store(ready, Ordering::Release);
     }
 
-    /// Takes it out by hand, or puts it back. Its process is restarted in between: no connection outlives that.
+    /// Sets or lifts an operator ban. The process is restarted during a ban, which no connection
+    /// survives, so idle connections are closed on either change.
     pub fn set_banned(&self, banned: bool) {
         if self.0.banned.swap(banned, Ordering::AcqRel) != banned {
             self.close_idle();
@@ -202,30 +211,32 @@
         lock(&self.0.idle).clear();
     }
 
-    /// Closes connections that have been idle for long, and those closed from the other side.
+    /// Closes connections that have been idle for too long or were closed by the log worker.
     pub fn sweep(&self) {
-        let max = self.0.shared.max_idle;
-        lock(&self.0.idle).retain(|c| !c.is_closed() && c.idle_since.elapsed() < max);
+        let max_idle = self.0.shared.max_idle;
+        lock(&self.0.idle)
+            .retain(|connection| !connection.is_closed() && connection.idle_since.elapsed() < max_idle);
     }
 
-    fn hears(&self) {
-        *lock(&self.0.heard) = Instant::now();
+    fn record_activity(&self) {
+        *lock(&self.0.last_activity) = Instant::now();
     }
 
-    fn reuse(&self, what: What) -> Option<Connection> {
+    fn take_idle(&self, purpose: Purpose) -> Option<Connection> {
         self.sweep();
-        let severed = *lock(&self.0.shared.severed);
-        let distrusted = what == What::Once && severed.is_some_and(|at| at.elapsed() < DISTRUST);
-        let unheard = what != What::Probe && lock(&self.0.heard).elapsed() > UNHEARD;
-        if distrusted || unheard {
+        let stale_connection_at = *lock(&self.0.shared.stale_connection_at);
+        let avoided = purpose == Purpose::AtMostOnce
+            && stale_connection_at.is_some_and(|at| at.elapsed() < STALE_CONNECTION_PENALTY);
+        let silent = purpose != Purpose::Probe && lock(&self.0.last_activity).elapsed() > MAX_REUSE_SILENCE;
+        if avoided || silent {
             return None;
         }
-        // The newest first: the others get the chance to grow old.
+        // The newest is taken first, so that the others can reach their idle timeout.
         lock(&self.0.idle).pop_back()
     }
 
-    fn keep(&self, mut connection: Connection) {
-        (connection.idle_since, connection.kept) = (Instant::now(), true);
+    fn return_to_pool(&self, mut connection: Connection) {
+        (connection.idle_since, connection.reused) = (Instant::now(), true);
         let mut idle = lock(&self.0.idle);
         let current = connection.epoch == self.0.epoch.load(Ordering::Acquire) && !self.is_banned();
         if current && idle.len() < MAX_IDLE {
@@ -233,75 +244,78 @@
         }
     }
 
-    async fn open(&self) -> Result<Connection, Failed> {
+    async fn open(&self) -> Result<Connection, AttemptError> {
         let shared = &self.0.shared;
-        let room = shared.take_room().ok_or_else(|| {
+        let permit = shared.acquire_permit().ok_or_else(|| {
             shared.counters.connections_without_room.add();
-            tracing::warn!("no room for another connection to {}", self.0.name);
+            tracing::warn!("connection limit reached; no new connection to {}", self.0.name);
             Outcome::NotSent
         })?;
         let (address, epoch) = (*lock(&self.0.address), self.0.epoch.load(Ordering::Acquire));
-        match Connection::open(address, shared.connect_timeout, epoch, room, shared.counters.clone()).await {
+        match Connection::open(address, shared.connect_timeout, epoch, permit, shared.counters.clone()).await
+        {
             Ok(connection) => {
-                self.hears();
+                self.record_activity();
                 Ok(connection)
             }
             Err(error) => {
-                tracing::debug!("{}: no connection: {error}", self.0.name);
-                // The kept ones lead to the same place.
+                tracing::debug!("{}: connection failed: {error}", self.0.name);
+                // The idle connections lead to the same unreachable address.
                 self.close_idle();
                 Err(Outcome::NoConnection)
             }
         }
     }
 
-    /// Sends a request on a kept connection or a new one. A kept one that turns out closed before the last
-    /// byte is written is replaced once: nothing has reached the log worker, so this is no further attempt.
+    /// Sends a request on an idle connection, or on a new one. If an idle connection turns out closed before
+    /// the last byte is written, it is replaced once: the log worker has not received a complete request, so
+    /// this does not count as another attempt.
     async fn exchange(
         &self,
         request: impl Fn() -> Request<Full<Bytes>>,
         body_len: usize,
-        what: What,
+        purpose: Purpose,
         may_send: impl Fn() -> bool,
-    ) -> Result<(Connection, Response<Incoming>), Failed> {
-        if let Some(mut connection) = self.reuse(what) {
+    ) -> Result<(Connection, Response<Incoming>), AttemptError> {
+        if let Some(mut connection) = self.take_idle(purpose) {
             if !may_send() {
-                self.keep(connection);
+                self.return_to_pool(connection);
                 return Err(Outcome::NotSent);
             }
-            match connection.send(request(), body_len, what != What::Probe).await {
+            match connection.send(request(), body_len, purpose != Purpose::Probe).await {
                 Ok(response) => return Ok((connection, response)),
-                Err(Broke::AfterLastByte) => {
-                    tracing::debug!("{}: a kept connection broke under a request", self.0.name);
-                    *lock(&self.0.shared.severed) = Some(Instant::now());
+                Err(SendError::AfterLastByte) => {
+                    tracing::debug!("{}: a reused connection broke after the request was sent", self.0.name);
+                    *lock(&self.0.shared.stale_connection_at) = Some(Instant::now());
                     return Err(Outcome::Severed);
                 }
-                Err(Broke::BeforeLastByte) => {}
+                Err(SendError::BeforeLastByte) => {}
             }
         }
         let mut connection = self.open().await?;
-        // Opening took its time: the log worker may have begun to drain, or the client's time run out.
+        // Connecting took time: by now the log worker may be draining, or the client's deadline may have
+        // passed.
         if !may_send() {
-            self.keep(connection);
+            self.return_to_pool(connection);
             return Err(Outcome::NotSent);
         }
-        match connection.send(request(), body_len, what != What::Probe).await {
+        match connection.send(request(), body_len, purpose != Purpose::Probe).await {
             Ok(response) => Ok((connection, response)),
-            Err(Broke::AfterLastByte) => Err(Outcome::ConnectionLost),
-            Err(Broke::BeforeLastByte) => Err(Outcome::NoConnection),
+            Err(SendError::AfterLastByte) => Err(Outcome::ConnectionLost),
+            Err(SendError::BeforeLastByte) => Err(Outcome::NoConnection),
         }
     }
 
     async fn attempt(self, attempt: CallAttempt<Arc<Call>>) -> Ended<Bytes> {
         let shared = &self.0.shared;
-        let left = shared.clock.until(attempt.deadline);
-        match timeout(left, self.run(&attempt)).await {
+        let time_left = shared.clock.until(attempt.deadline);
+        match timeout(time_left, self.send_attempt(&attempt)).await {
             Ok(ended) => ended,
             Err(_) => Outcome::NoAnswer.into(),
         }
     }
 
-    async fn run(&self, attempt: &CallAttempt<Arc<Call>>) -> Ended<Bytes> {
+    async fn send_attempt(&self, attempt: &CallAttempt<Arc<Call>>) -> Ended<Bytes> {
         let shared = &self.0.shared;
         let call = &attempt.call;
         let request = || {
@@ -309,41 +323,43 @@
             *request.method_mut() = call.method.clone();
             *request.uri_mut() = call.uri.clone();
             *request.headers_mut() = call.headers.clone();
-            let left = shared.clock.until(attempt.deadline).as_millis().max(1) as u64;
-            request.headers_mut().insert(headers::TIME_LEFT, HeaderValue::from(left));
-            self.address_to_host(request.headers_mut());
+            let time_left = shared.clock.until(attempt.deadline).as_millis().max(1) as u64;
+            request.headers_mut().insert(headers::TIME_LEFT, HeaderValue::from(time_left));
+            self.set_host_header(request.headers_mut());
             request
         };
-        let what = if call.once { What::Once } else { What::Again };
-        let takes_work = || self.0.ready.load(Ordering::Acquire) && !self.is_banned();
-        let in_time = |now: Time| now < attempt.by && now < attempt.deadline && shared.list_holds(now);
-        let may_send = || takes_work() && in_time(shared.clock.now()) && !call.over.load(Ordering::Acquire);
-        let (connection, response) = match self.exchange(request, call.body.len(), what, may_send).await {
+        let purpose = if call.at_most_once { Purpose::AtMostOnce } else { Purpose::Retryable };
+        let accepts_work = || self.0.ready.load(Ordering::Acquire) && !self.is_banned();
+        let in_time = |now: Time| now < attempt.by && now < attempt.deadline && shared.is_list_valid(now);
+        let may_send =
+            || accepts_work() && in_time(shared.clock.now()) && !call.finished.load(Ordering::Acquire);
+        let (connection, response) = match self.exchange(request, call.body.len(), purpose, may_send).await {
             Ok(done) => done,
             Err(outcome) => return outcome.into(),
         };
-        self.hears();
-        let load = load_header(response.headers(), &shared.words);
+        self.record_activity();
+        let load = load_header(response.headers(), &shared.vocabulary);
         match response.status() {
-            StatusCode::OK => self.follow(attempt, connection, response, load).await,
+            StatusCode::OK => self.read_job_states(attempt, connection, response, load).await,
             status => {
-                let unseen = response.headers().get(headers::UNPROCESSED).is_some_and(|v| v == "1");
-                let away = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT].contains(&status);
+                let unprocessed = response.headers().get(headers::UNPROCESSED).is_some_and(|v| v == "1");
+                let unavailable =
+                    [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT].contains(&status);
                 let outcome = match status {
-                    _ if unseen && away => Outcome::TurnedAway,
-                    // These two speak of the moment, not of the request.
+                    _ if unprocessed && unavailable => Outcome::TurnedAway,
+                    // These two statuses are temporary and say nothing about the request itself.
                     StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
                     _ if status.is_client_error() => Outcome::Unusable,
                     _ => Outcome::Error,
                 };
-                self.finish(connection, Lines::new(response.into_body()));
+                self.finish_in_background(connection, Lines::new(response.into_body()));
                 Ended { result: Err(outcome), load }
             }
         }
     }
 
-    /// Reads a job's objects to the one that ends it.
-    async fn follow(
+    /// Reads the objects of a job up to the one that ends it.
+    async fn read_job_states(
         &self,
         attempt: &CallAttempt<Arc<Call>>,
         connection: Connection,
@@ -354,99 +370,105 @@
         let mut lines = Lines::new(response.into_body());
         let (request, number) = (attempt.request, attempt.attempt);
         let result = loop {
-            // Whatever ends the answer early, the job may have run.
+            // The job may have run, whatever cut the response short.
             let Ok(Some(line)) = lines.next().await else { break Err(Outcome::ConnectionLost) };
-            self.hears();
+            self.record_activity();
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            let object: JobLine = match serde_json::from_slice(&line) {
+            let object: JobState = match serde_json::from_slice(&line) {
                 Ok(object) => object,
                 Err(error) => {
-                    tracing::warn!("{}: an answer is unreadable: {error}", self.0.name);
+                    tracing::warn!("{}: unreadable response: {error}", self.0.name);
                     break Err(Outcome::ConnectionLost);
                 }
             };
             if object.id.as_bytes() != attempt.call.id.as_bytes() {
-                tracing::warn!("{}: an answer to another request", self.0.name);
-                // A second answer to the one before, that came too late to be seen there: the log worker may be well.
-                if connection.kept {
-                    *lock(&shared.severed) = Some(Instant::now());
+                tracing::warn!("{}: the response carries the id of another request", self.0.name);
+                // A second response to the previous request, which arrived too late to be read there. The log
+                // worker itself may be healthy.
+                if connection.reused {
+                    *lock(&shared.stale_connection_at) = Some(Instant::now());
                     break Err(Outcome::Severed);
                 }
                 break Err(Outcome::ConnectionLost);
             }
             if let Some(map) = &object.load {
-                load = report::from_map(map, &shared.words).or(load);
+                load = report::from_map(map, &shared.vocabulary).or(load);
             }
             match object.state.as_str() {
-                "started" => (shared.notes)(request, number, Note::Started).await,
+                "started" => (shared.progress)(request, number, Note::Started).await,
                 "running" => {
                     let share = object.share.unwrap_or(0.0);
-                    (shared.notes)(request, number, Note::Progress(share)).await;
+                    (shared.progress)(request, number, Note::Progress(share)).await;
                 }
                 "done" => {
                     let result = object.result.map(|raw| line.slice_ref(raw.get().as_bytes()));
                     let result = result.unwrap_or_default();
-                    self.finish(connection, lines);
+                    self.finish_in_background(connection, lines);
                     return Ended { result: Ok(plain_text(result)), load };
                 }
                 "failed" => break Err(Outcome::Error),
                 "returned" => break Err(Outcome::TurnedAway),
                 "lost" => break Err(Outcome::ConnectionLost),
-                other => tracing::debug!("{}: state {other:?} is not known", self.0.name),
+                other => tracing::debug!("{}: unknown job state {other:?}", self.0.name),
             }
         };
         if let Err(Outcome::Error | Outcome::TurnedAway) = result {
-            self.finish(connection, lines);
+            self.finish_in_background(connection, lines);
         }
         Ended { result, load }
     }
 
-    /// Reads what is left of an answer in the background, then keeps the connection.
-    fn finish(&self, mut connection: Connection, lines: Lines<Incoming>) {
+    /// Reads the rest of a response in the background, then returns the connection to the pool.
+    fn finish_in_background(&self, mut connection: Connection, lines: Lines<Incoming>) {
         let subchannel = self.clone();
-        tokio::spawn(timeout(TAIL_TIMEOUT, async move {
-            if lines.all().await.is_ok() && connection.ready().await {
-                subchannel.keep(connection);
+        tokio::spawn(timeout(BODY_REST_TIMEOUT, async move {
+            if lines.read_rest().await.is_ok() && connection.ready().await {
+                subchannel.return_to_pool(connection);
             }
         }));
     }
 
-    fn address_to_host(&self, headers: &mut HeaderMap) {
+    fn set_host_header(&self, headers: &mut HeaderMap) {
         if !headers.contains_key(header::HOST) {
             let address = lock(&self.0.address).to_string();
-            headers.insert(header::HOST, HeaderValue::from_str(&address).expect("an address is plain text"));
+            headers.insert(
+                header::HOST,
+                HeaderValue::from_str(&address).expect("an address is a valid header value"),
+            );
         }
     }
 
-    /// Asks the log worker for its load.
+    /// Requests the log worker's load report.
     pub async fn probe(self) -> Probed {
         let shared = &self.0.shared;
         let request = || {
             let mut request = Request::new(Full::default());
             *request.uri_mut() = Uri::from_static(super::STATS);
-            self.address_to_host(request.headers_mut());
+            self.set_host_header(request.headers_mut());
             request
         };
         let probe = async {
-            let (connection, response) = self.exchange(request, 0, What::Probe, || !self.is_banned()).await?;
-            self.hears();
+            let (connection, response) =
+                self.exchange(request, 0, Purpose::Probe, || !self.is_banned()).await?;
+            self.record_activity();
             let outcome = if response.status().is_success() { Outcome::Served } else { Outcome::Error };
-            let header = load_header(response.headers(), &shared.words);
-            let body = Lines::new(response.into_body()).all().await.map_err(|_| Outcome::ConnectionLost)?;
+            let header = load_header(response.headers(), &shared.vocabulary);
+            let body =
+                Lines::new(response.into_body()).read_rest().await.map_err(|_| Outcome::ConnectionLost)?;
             let mut connection = connection;
             if connection.ready().await {
-                self.keep(connection);
+                self.return_to_pool(connection);
             }
-            Ok(Probed { outcome, load: header.or_else(|| report::from_body(&body, &shared.words)) })
+            Ok(Probed { outcome, load: header.or_else(|| report::from_body(&body, &shared.vocabulary)) })
         };
         let failed = |outcome| Probed { outcome, load: None };
         match timeout(PROBE_TIMEOUT, probe).await {
             Ok(Ok(probed)) => probed,
             Ok(Err(outcome)) => failed(outcome),
             Err(_) => {
-                // Kept ones lead to the same place.
+                // The idle connections lead to the same unresponsive log worker.
                 self.close_idle();
                 failed(Outcome::NoAnswer)
             }
@@ -470,16 +492,16 @@
 }
 
 pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    // Nothing that holds these locks can leave half a change behind.
+    // A poisoned lock is usable: no code that holds one of these locks can leave a partial change behind.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn load_header(headers: &HeaderMap, words: &Vocabulary) -> Option<LoadReport> {
+fn load_header(headers: &HeaderMap, vocabulary: &Vocabulary) -> Option<LoadReport> {
     let name = HeaderName::from_static(headers::LOAD);
-    report::from_pairs(headers.get(name)?.to_str().ok()?, words)
+    report::from_pairs(headers.get(name)?.to_str().ok()?, vocabulary)
 }
 
-/// A result that is a JSON string stands for its text; any other stays the bytes that came.
+/// The text of a result that is a JSON string; any other result is passed on as the bytes received.
 fn plain_text(result: Bytes) -> Bytes {
     if result.first() != Some(&b'"') {
         return result;
--- a/crates/rookspoke/tests/commands.rs
+++ b/crates/rookspoke/tests/commands.rs
@@ -253,7 +253,7 @@
     daemon.wait_ready();
     let http = daemon.address("http");
     assert_eq!(ask(http, &post("qso-confirm", "00000000000000ab", 5000, "")).status, 500);
-    let line = daemon.wait_log("unreadable");
+    let line = daemon.wait_log("unreadable response");
     let line: Value = serde_json::from_str(&line).expect("JSON");
     let span = &line["span"];
     assert_eq!(
@@ -289,7 +289,7 @@
     daemon.wait_exit();
     daemon.wait_log("http counters at exit");
     let log = daemon.log();
-    let written = log.iter().filter(|line| line.contains("an answer is unreadable")).count();
+    let written = log.iter().filter(|line| line.contains("unreadable response")).count();
     let told = log.iter().filter(|line| line.contains("lines of one place were left out"));
     let count = |line: &String| line.split("count=").nth(1)?.split(' ').next()?.parse::<usize>().ok();
     let left_out: usize = told.filter_map(count).sum();
--- a/crates/rookspoke/tests/large_lists.rs
+++ b/crates/rookspoke/tests/large_lists.rs
@@ -276,7 +276,7 @@
 fn a_watch_that_writes_nothing_but_spaces_is_a_silent_one() {
     let text = whole(&draining(1)).to_string() + "\n" + &" ".repeat(1_000_000);
     let daemon = Daemon::start(&config(writes_in_pieces(text, 1_000, Duration::from_millis(20))), None);
-    daemon.wait_log("a list is taken");
+    daemon.wait_log("list update applied");
     let listed = Instant::now();
     daemon.wait_log("the watch was silent");
     assert!(listed.elapsed() < Duration::from_secs(6), "given up after {:?}", listed.elapsed());
