--- a/crates/channel/src/resolver.rs
+++ b/crates/channel/src/resolver.rs
@@ -142,8 +142,8 @@
             let outcome = self.call_until_command(watches, &mut commands, &notify).await;
             notify(ResolverResult::WatchMessage(None)).await;
             command = match outcome {
-                Ok(outcome) => {
-                    if let Err(error) = outcome {
+                Ok(result) => {
+                    if let Err(error) = result {
                         notify(self.record_failure(error)).await;
                     }
                     commands.recv().await
@@ -187,7 +187,7 @@
         tokio::pin!(call);
         loop {
             tokio::select! {
-                outcome = &mut call => return Ok(outcome),
+                result = &mut call => return Ok(result),
                 Some(next) = commands.recv() => match next {
                     Command::Watch if watches && receiving.get() => {}
                     next => return Err(next),
--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -65,13 +65,13 @@
     pub counters: Arc<Counters>,
     /// Every open connection to a log worker holds one permit.
     pub permits: Arc<Semaphore>,
-    /// Permits that are currently left unused.
+    /// Permits left unused while another process shares the descriptors.
     pub reserved_permits: AtomicUsize,
     pub connect_timeout: Duration,
     /// Connections idle for this long are closed, well before their log worker would close them.
     pub max_idle: Duration,
-    /// When a reused connection last broke under a request, to any log worker: what closes such connections
-    /// sits in front of all of them.
+    /// When a reused connection last broke under a request, to any log worker. What closes idle connections
+    /// stands in front of all log workers, so it affects all subchannels alike.
     pub stale_connection_at: Mutex<Option<Instant>>,
     /// When the open watch last received a message, in microseconds of the clock; see
     /// [`Shared::is_list_valid`].
@@ -195,8 +195,8 @@
         self.0.ready.store(ready, Ordering::Release);
     }
 
-    /// Sets or lifts an operator ban. The process is restarted during a ban, which no connection
-    /// survives, so idle connections are closed on either change.
+    /// Sets or lifts an operator ban. The process is restarted during a ban, which no connection survives, so
+    /// idle connections are closed on either change.
     pub fn set_banned(&self, banned: bool) {
         if self.0.banned.swap(banned, Ordering::AcqRel) != banned {
             self.close_idle();
