--- a/crates/channel/src/connection.rs
+++ b/crates/channel/src/connection.rs
@@ -81,7 +81,7 @@
                 self.written.complete.store(true, Ordering::Release);
                 // Counted here, not after the response: a cancelled attempt was written, too.
                 if self.written.is_attempt.load(Ordering::Acquire) {
-                    self.written.counters.written.add();
+                    self.written.counters.written.increment();
                 }
                 self.position = Position::Head(0);
             }
--- a/crates/channel/src/fleet.rs
+++ b/crates/channel/src/fleet.rs
@@ -12,9 +12,9 @@
 
 use super::resolver::Command;
 use super::subchannel::{lock, Call, Shared, Subchannel};
-use rookspoke_config::Update;
+use rookspoke_config::ListUpdate;
 use rookspoke_decisions::{Ban, ListScope, Listing, Name, Outcome, Readiness};
-use rookspoke_dispatch::{CallAttempt, Ended, Probed, Transport};
+use rookspoke_dispatch::{AttemptResult, CallAttempt, ProbeResult, Transport};
 
 /// Interval between checks for expired idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -58,7 +58,7 @@
     /// Applies a list or a change. `listings` holds the entries of `update` in the dispatcher's form, in the
     /// same order. Log workers that are removed or draining get no new requests from this moment on, even
     /// before the dispatcher is notified.
-    pub fn apply(&self, scope: ListScope, update: &Update, listings: &[Listing]) {
+    pub fn apply(&self, scope: ListScope, update: &ListUpdate, listings: &[Listing]) {
         let banned = lock(&self.banned);
         let mut subchannels = self.lock();
         if scope != ListScope::Changes {
@@ -125,7 +125,7 @@
     fn send(
         &mut self,
         attempt: CallAttempt<Arc<Call>>,
-    ) -> impl Future<Output = Ended<Bytes>> + Send + 'static {
+    ) -> impl Future<Output = AttemptResult<Bytes>> + Send + 'static {
         let subchannel = self.fleet.get(&attempt.worker);
         async move {
             match subchannel {
@@ -138,17 +138,17 @@
         }
     }
 
-    fn probe(&mut self, worker: Name) -> impl Future<Output = Probed> + Send + 'static {
+    fn probe(&mut self, worker: Name) -> impl Future<Output = ProbeResult> + Send + 'static {
         let subchannel = self.fleet.get(&worker);
         async move {
             match subchannel {
                 Some(subchannel) => subchannel.probe().await,
-                None => Probed { outcome: Outcome::NotSent, load: None },
+                None => ProbeResult { outcome: Outcome::NotSent, load: None },
             }
         }
     }
 
-    fn watch(&mut self) {
+    fn watch_list(&mut self) {
         self.send_command(Command::Watch);
     }
 
--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -36,7 +36,7 @@
 use resolver::Command;
 use rookspoke_config::{Config, ListSource};
 use rookspoke_decisions::{Ban, ClassId, Effect, Note, RequestId, SettingsError, Span, Time};
-use rookspoke_dispatch::{request_span, Answer, Ask, Clock, Core, Counters, Handle, Limits};
+use rookspoke_dispatch::{request_span, Answer, Clock, Core, Counters, Handle, Limits, Submission};
 use rookspoke_wire::Vocabulary;
 use subchannel::{Call, Shared, Subchannel, NO_WATCH};
 
@@ -129,10 +129,10 @@
         let progress_handle = handle.clone();
         let shared = Arc::new(Shared {
             clock,
-            vocabulary: config.words.clone(),
+            vocabulary: config.vocabulary.clone(),
             progress: Arc::new(move |request, attempt, note| {
                 let handle = progress_handle.clone();
-                Box::pin(async move { handle.note(request, attempt, note).await })
+                Box::pin(async move { handle.report_progress(request, attempt, note).await })
             }),
             counters: handle.counters().clone(),
             permits: Arc::new(Semaphore::new((sockets as f64 * WORKER_SOCKET_FRACTION) as usize)),
@@ -155,7 +155,7 @@
         let core = core.run(settings, seed, clock, transport);
         tokio::spawn(fleet.clone().sweep());
         tokio::spawn(discover(config, handle.clone(), fleet.clone(), command_receiver, set_ready));
-        let vocabulary = Arc::new(config.words.clone());
+        let vocabulary = Arc::new(config.vocabulary.clone());
         let limits = &config.settings.limits;
         let default_retry_after = limits.retry_after.then(|| DEFAULT_RETRY_AFTER.min(limits.max_retry_after));
         let open_ids = OpenIds::default();
@@ -198,7 +198,7 @@
             Answer::Refused { .. } => "refused",
             Answer::Failed => "failed",
         };
-        self.counters().shutdown_answers.add();
+        self.counters().shutdown_answers.increment();
         let class = self.vocabulary.classes[class.0].as_ref();
         let left_ms = limits.answer_deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         tracing::info!(id = id.to_str().unwrap_or_default(), class, left_ms, "shutdown: request {answer}");
@@ -213,7 +213,7 @@
 
     /// Whether the log worker is listed or banned by an operator.
     pub async fn is_known_worker(&self, worker: &str) -> bool {
-        self.handle.knows(worker).await
+        self.handle.is_known(worker).await
     }
 
     /// Replaces the set of operator bans. Once this future completes, no new request is sent to a banned log
@@ -222,7 +222,7 @@
         // The subchannels come first, so that an attempt that is still connecting finds the ban before it
         // sends.
         self.fleet.set_bans(&bans);
-        self.handle.ban(bans).await;
+        self.handle.set_bans(bans).await;
     }
 
     /// Leaves room for another process that shares the descriptors: `reserved` of them are set aside for uses
@@ -276,7 +276,7 @@
     }
 
     /// Validates a request's head, reads its body and registers its id as open.
-    async fn parse<B>(&self, request: Request<B>) -> Result<(Ask<Arc<Call>>, OpenId), BadRequest>
+    async fn parse<B>(&self, request: Request<B>) -> Result<(Submission<Arc<Call>>, OpenId), BadRequest>
     where
         B: Body,
         B::Data: Buf,
@@ -317,7 +317,21 @@
         let (at_most_once, finished) = (effect == Effect::Unsafe, false.into());
         let call = Arc::new(Call { method: parts.method, uri, headers, id, body, at_most_once, finished });
         let Facts { slots, memory } = facts;
-        Ok((Ask { class, tenant, key, tag, work, slots, memory, deadline, call, span }, open))
+        Ok((
+            Submission {
+                class,
+                tenant,
+                key,
+                idempotency_hash: tag,
+                work,
+                slots,
+                memory,
+                deadline,
+                call,
+                span,
+            },
+            open,
+        ))
     }
 }
 
@@ -343,7 +357,7 @@
                 Ok((ask, _open)) => {
                     let finish = FinishOnDrop(ask.call.clone());
                     let class = ask.class;
-                    let answer = channel.with_retry_advice(channel.handle.ask(ask).await);
+                    let answer = channel.with_retry_advice(channel.handle.submit(ask).await);
                     channel.log_at_shutdown(&finish.0.id, class, &answer);
                     match is_call {
                         true => grpc::respond(answer),
@@ -351,7 +365,7 @@
                     }
                 }
                 Err(bad) => {
-                    channel.counters().malformed.add();
+                    channel.counters().malformed.increment();
                     tracing::debug!("request rejected: {bad}");
                     match is_call {
                         true => grpc::reject(&bad),
--- a/crates/channel/src/membership.rs
+++ b/crates/channel/src/membership.rs
@@ -12,7 +12,7 @@
 use super::resolver::{Command, Failure, Resolver, ResolverResult};
 use super::start_times::StartTimes;
 use super::subchannel::{lock, Call, NO_WATCH};
-use rookspoke_config::{Config, Target, Update};
+use rookspoke_config::{Config, ListUpdate, Target};
 use rookspoke_decisions::{Discovery, ListScope, Listing, Name, Readiness};
 use rookspoke_dispatch::{Counters, Handle};
 
@@ -29,23 +29,23 @@
     commands: mpsc::Receiver<Command>,
     ready: watch::Sender<bool>,
 ) -> impl Future<Output = ()> + Send + 'static {
-    let known = config.known.clone();
+    let known = config.last_known_list.clone();
     let pushed = config.settings.discovery == Discovery::Automatic;
-    let resolver = Resolver::new(config.source.clone(), known.as_ref().map(|list| list.rev), pushed);
+    let resolver = Resolver::new(config.list_source.clone(), known.as_ref().map(|list| list.rev), pushed);
     let clock = fleet.shared.clock;
     let ready = Arc::new(ready);
     async move {
         let start_times = Arc::new(Mutex::new(StartTimes::default()));
         let apply = {
             let (handle, fleet, start_times) = (handle.clone(), fleet.clone(), start_times.clone());
-            move |scope, update: &Update| {
+            move |scope, update: &ListUpdate| {
                 report_skipped_entries(handle.counters(), update);
                 apply_update(&start_times, &fleet, scope, update)
             }
         };
         let entries = known.as_ref().map(|known| apply(ListScope::Remembered, known));
         // The dispatcher needs this call even without a remembered list: it requests no list before it.
-        handle.list(ListScope::Remembered, entries.unwrap_or_default()).await;
+        handle.update_list(ListScope::Remembered, entries.unwrap_or_default()).await;
         if known.is_some() {
             let ready = ready.clone();
             tokio::spawn(async move {
@@ -65,21 +65,21 @@
                     ResolverResult::Update(scope, update) => {
                         let entries = apply(scope, &update);
                         fleet.shared.list_unreadable.store(false, Ordering::Release);
-                        handle.list(scope, entries).await;
+                        handle.update_list(scope, entries).await;
                         ready.send_replace(true);
                     }
                     ResolverResult::Failed(Failure::Unavailable) => {
-                        handle.list(ListScope::Failed, Arc::new([])).await;
+                        handle.update_list(ListScope::Failed, Arc::new([])).await;
                     }
                     ResolverResult::Failed(Failure::Unusable) => {
                         fleet.shared.list_unreadable.store(true, Ordering::Release);
-                        handle.counters().lists_unusable.add();
-                        handle.list(ListScope::Unusable, Arc::new([])).await;
+                        handle.counters().lists_unusable.increment();
+                        handle.update_list(ListScope::Unusable, Arc::new([])).await;
                     }
-                    ResolverResult::SourceChanged => handle.list(ListScope::Moved, Arc::new([])).await,
+                    ResolverResult::SourceChanged => handle.update_list(ListScope::Moved, Arc::new([])).await,
                     ResolverResult::Silent(since) => {
                         let since = clock.at(since);
-                        handle.list(ListScope::Silent { since }, Arc::new([])).await;
+                        handle.update_list(ListScope::Silent { since }, Arc::new([])).await;
                     }
                 }
             }
@@ -89,10 +89,10 @@
 }
 
 /// Counts and logs entries that were skipped.
-fn report_skipped_entries(counters: &Counters, update: &Update) {
+fn report_skipped_entries(counters: &Counters, update: &ListUpdate) {
     let Some(first) = update.unreadable.first() else { return };
     let count = update.unreadable.len();
-    counters.list_entries_unreadable.add_many(count);
+    counters.list_entries_unreadable.add(count);
     tracing::error!(
         version = update.rev,
         count,
@@ -105,7 +105,7 @@
     start_times: &Mutex<StartTimes>,
     fleet: &Fleet,
     scope: ListScope,
-    update: &Update,
+    update: &ListUpdate,
 ) -> Arc<[Listing]> {
     let mut entries: Vec<Listing> = update.targets.iter().map(Target::listing).collect();
     fleet.apply(scope, update, &entries);
--- a/crates/channel/src/resolver.rs
+++ b/crates/channel/src/resolver.rs
@@ -17,7 +17,7 @@
 
 use super::list_stream::{Item, ListStream, Receiving, StreamError, MAX_SILENCE};
 use super::stream::Stream;
-use rookspoke_config::{ListSource, Update};
+use rookspoke_config::{ListSource, ListUpdate};
 use rookspoke_decisions::ListScope;
 
 const PATH: &str = "/registry/instances";
@@ -35,7 +35,7 @@
     /// When the open watch last received a message; `None` if no watch is open.
     WatchMessage(Option<Instant>),
     /// A list or a change of it.
-    Update(ListScope, Arc<Update>),
+    Update(ListScope, Arc<ListUpdate>),
     /// The call failed or the watch broke.
     Failed(Failure),
     /// The watch was given up as silent; its last message arrived then.
@@ -255,7 +255,7 @@
                 // Nothing has changed since the version in effect. This confirms a list that may have been in
                 // doubt.
                 (Item::Heartbeat, Some(rev)) if first => {
-                    self.deliver(Update::new(rev, false, Vec::new()), notify).await;
+                    self.deliver(ListUpdate::new(rev, false, Vec::new()), notify).await;
                 }
                 (Item::Heartbeat, _) => {}
             }
@@ -289,9 +289,9 @@
         Fut: Future<Output = ()>,
     {
         let started = Instant::now();
-        let update = Update::read(object)?;
+        let update = ListUpdate::read(object)?;
         let (version, entries, unreadable) = (update.rev, update.targets.len(), update.unreadable.len());
-        let complete = update.all;
+        let complete = update.complete;
         self.deliver(update, notify).await;
         let (bytes, took_us) = (object.len(), started.elapsed().as_micros() as u64);
         tracing::info!(
@@ -306,12 +306,12 @@
         Ok(())
     }
 
-    async fn deliver<F, Fut>(&mut self, update: Update, notify: &F)
+    async fn deliver<F, Fut>(&mut self, update: ListUpdate, notify: &F)
     where
         F: Fn(ResolverResult) -> Fut,
         Fut: Future<Output = ()>,
     {
-        let scope = if update.all { ListScope::Complete } else { ListScope::Changes };
+        let scope = if update.complete { ListScope::Complete } else { ListScope::Changes };
         let rev = update.rev;
         notify(ResolverResult::Update(scope, Arc::new(update))).await;
         // Set only now, so that an update whose delivery is interrupted by a command is requested again.
--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -23,7 +23,7 @@
 use super::lines::Lines;
 use super::{headers, report, ProgressSink};
 use rookspoke_decisions::{LoadReport, Name, Note, Outcome, Time, TOLD_WITHIN};
-use rookspoke_dispatch::{CallAttempt, Clock, Counters, Ended, Probed};
+use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Counters, ProbeResult};
 use rookspoke_wire::Vocabulary;
 
 /// Upper bound of idle connections per log worker.
@@ -110,7 +110,7 @@
         let idle = subchannels.values().filter(|subchannel| idle_since(subchannel).is_some());
         if let Some(oldest) = idle.min_by_key(idle_since) {
             lock(&oldest.0.idle).pop_front();
-            self.counters.connections_displaced.add();
+            self.counters.connections_displaced.increment();
         }
     }
 
@@ -247,7 +247,7 @@
     async fn open(&self) -> Result<Connection, AttemptError> {
         let shared = &self.0.shared;
         let permit = shared.acquire_permit().ok_or_else(|| {
-            shared.counters.connections_without_room.add();
+            shared.counters.connections_without_room.increment();
             tracing::warn!("connection limit reached; no new connection to {}", self.0.name);
             Outcome::NotSent
         })?;
@@ -306,7 +306,7 @@
         }
     }
 
-    async fn attempt(self, attempt: CallAttempt<Arc<Call>>) -> Ended<Bytes> {
+    async fn attempt(self, attempt: CallAttempt<Arc<Call>>) -> AttemptResult<Bytes> {
         let shared = &self.0.shared;
         let time_left = shared.clock.until(attempt.deadline);
         match timeout(time_left, self.send_attempt(&attempt)).await {
@@ -315,7 +315,7 @@
         }
     }
 
-    async fn send_attempt(&self, attempt: &CallAttempt<Arc<Call>>) -> Ended<Bytes> {
+    async fn send_attempt(&self, attempt: &CallAttempt<Arc<Call>>) -> AttemptResult<Bytes> {
         let shared = &self.0.shared;
         let call = &attempt.call;
         let request = || {
@@ -330,7 +330,8 @@
         };
         let purpose = if call.at_most_once { Purpose::AtMostOnce } else { Purpose::Retryable };
         let accepts_work = || self.0.ready.load(Ordering::Acquire) && !self.is_banned();
-        let in_time = |now: Time| now < attempt.by && now < attempt.deadline && shared.is_list_valid(now);
+        let in_time =
+            |now: Time| now < attempt.send_by && now < attempt.deadline && shared.is_list_valid(now);
         let may_send =
             || accepts_work() && in_time(shared.clock.now()) && !call.finished.load(Ordering::Acquire);
         let (connection, response) = match self.exchange(request, call.body.len(), purpose, may_send).await {
@@ -353,7 +354,7 @@
                     _ => Outcome::Error,
                 };
                 self.finish_in_background(connection, Lines::new(response.into_body()));
-                Ended { result: Err(outcome), load }
+                AttemptResult { result: Err(outcome), load }
             }
         }
     }
@@ -365,7 +366,7 @@
         connection: Connection,
         response: Response<Incoming>,
         mut load: Option<LoadReport>,
-    ) -> Ended<Bytes> {
+    ) -> AttemptResult<Bytes> {
         let shared = &self.0.shared;
         let mut lines = Lines::new(response.into_body());
         let (request, number) = (attempt.request, attempt.attempt);
@@ -406,7 +407,7 @@
                     let result = object.result.map(|raw| line.slice_ref(raw.get().as_bytes()));
                     let result = result.unwrap_or_default();
                     self.finish_in_background(connection, lines);
-                    return Ended { result: Ok(plain_text(result)), load };
+                    return AttemptResult { result: Ok(plain_text(result)), load };
                 }
                 "failed" => break Err(Outcome::Error),
                 "returned" => break Err(Outcome::TurnedAway),
@@ -417,7 +418,7 @@
         if let Err(Outcome::Error | Outcome::TurnedAway) = result {
             self.finish_in_background(connection, lines);
         }
-        Ended { result, load }
+        AttemptResult { result, load }
     }
 
     /// Reads the rest of a response in the background, then returns the connection to the pool.
@@ -441,7 +442,7 @@
     }
 
     /// Requests the log worker's load report.
-    pub async fn probe(self) -> Probed {
+    pub async fn probe(self) -> ProbeResult {
         let shared = &self.0.shared;
         let request = || {
             let mut request = Request::new(Full::default());
@@ -461,9 +462,9 @@
             if connection.ready().await {
                 self.return_to_pool(connection);
             }
-            Ok(Probed { outcome, load: header.or_else(|| report::from_body(&body, &shared.vocabulary)) })
+            Ok(ProbeResult { outcome, load: header.or_else(|| report::from_body(&body, &shared.vocabulary)) })
         };
-        let failed = |outcome| Probed { outcome, load: None };
+        let failed = |outcome| ProbeResult { outcome, load: None };
         match timeout(PROBE_TIMEOUT, probe).await {
             Ok(Ok(probed)) => probed,
             Ok(Err(outcome)) => failed(outcome),
@@ -477,7 +478,7 @@
 }
 
 impl tower::Service<CallAttempt<Arc<Call>>> for Subchannel {
-    type Response = Ended<Bytes>;
+    type Response = AttemptResult<Bytes>;
     type Error = std::convert::Infallible;
     type Future = BoxFuture<'static, Result<Self::Response, Self::Error>>;
 
