--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -312,24 +312,16 @@
         let class_name = self.vocabulary.classes[class.0].as_ref();
         let span = request_span(id.to_str().unwrap_or_default(), class_name);
         let effect = self.effects[class.0];
-        let tag =
-            if let Effect::Keyed { .. } = effect { request::idempotency_tag(&headers, class)? } else { None };
+        let idempotency_hash = if let Effect::Keyed { .. } = effect {
+            request::idempotency_hash(&headers, class)?
+        } else {
+            None
+        };
         let (at_most_once, finished) = (effect == Effect::Unsafe, false.into());
         let call = Arc::new(Call { method: parts.method, uri, headers, id, body, at_most_once, finished });
         let Facts { slots, memory } = facts;
         Ok((
-            Submission {
-                class,
-                tenant,
-                key,
-                idempotency_hash: tag,
-                work,
-                slots,
-                memory,
-                deadline,
-                call,
-                span,
-            },
+            Submission { class, tenant, key, idempotency_hash, work, slots, memory, deadline, call, span },
             open,
         ))
     }
@@ -354,10 +346,10 @@
         Box::pin(async move {
             let is_call = grpc::is_call(request.headers());
             Ok(match channel.parse(request).await {
-                Ok((ask, _open)) => {
-                    let finish = FinishOnDrop(ask.call.clone());
-                    let class = ask.class;
-                    let answer = channel.with_retry_advice(channel.handle.submit(ask).await);
+                Ok((submission, _open)) => {
+                    let finish = FinishOnDrop(submission.call.clone());
+                    let class = submission.class;
+                    let answer = channel.with_retry_advice(channel.handle.submit(submission).await);
                     channel.log_at_shutdown(&finish.0.id, class, &answer);
                     match is_call {
                         true => grpc::respond(answer),
--- a/crates/channel/src/membership.rs
+++ b/crates/channel/src/membership.rs
@@ -16,12 +16,11 @@
 use rookspoke_decisions::{Discovery, ListScope, Listing, Name, Readiness};
 use rookspoke_dispatch::{Counters, Handle};
 
-/// How long discovery may stay silent at the start before the list remembered from the previous process
-/// counts as the first one.
+/// How long discovery may stay silent at the start before the last known list counts as the first one.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Feeds resolver results to the subchannels and the dispatcher. If discovery stays silent at the start, the
-/// remembered list is used.
+/// last known list is used.
 pub fn discover(
     config: &Config,
     handle: Handle<Arc<Call>, Bytes>,
@@ -29,9 +28,10 @@
     commands: mpsc::Receiver<Command>,
     ready: watch::Sender<bool>,
 ) -> impl Future<Output = ()> + Send + 'static {
-    let known = config.last_known_list.clone();
+    let last_known = config.last_known_list.clone();
     let pushed = config.settings.discovery == Discovery::Automatic;
-    let resolver = Resolver::new(config.list_source.clone(), known.as_ref().map(|list| list.rev), pushed);
+    let resolver =
+        Resolver::new(config.list_source.clone(), last_known.as_ref().map(|list| list.rev), pushed);
     let clock = fleet.shared.clock;
     let ready = Arc::new(ready);
     async move {
@@ -43,10 +43,10 @@
                 apply_update(&start_times, &fleet, scope, update)
             }
         };
-        let entries = known.as_ref().map(|known| apply(ListScope::Remembered, known));
-        // The dispatcher needs this call even without a remembered list: it requests no list before it.
+        let entries = last_known.as_ref().map(|list| apply(ListScope::Remembered, list));
+        // The dispatcher needs this call even without a last known list: it requests no list before it.
         handle.update_list(ListScope::Remembered, entries.unwrap_or_default()).await;
-        if known.is_some() {
+        if last_known.is_some() {
             let ready = ready.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(FIRST_LIST_TIMEOUT).await;
--- a/crates/channel/src/request.rs
+++ b/crates/channel/src/request.rs
@@ -119,7 +119,7 @@
 
 /// A hash of the idempotency key, which all retries of a keyed request have in common, whether or not they
 /// are marked as retries.
-pub fn idempotency_tag(headers: &HeaderMap, class: ClassId) -> Result<Option<u64>, BadRequest> {
+pub fn idempotency_hash(headers: &HeaderMap, class: ClassId) -> Result<Option<u64>, BadRequest> {
     let key = single_value(headers, super::headers::KEY)?;
     Ok(key.map(|key| xxh3_64_with_seed(key.as_bytes(), class.0 as u64)))
 }
