--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -28,13 +28,13 @@
 #[derive(Clone)]
 pub struct Fronts {
     pub channel: Channel,
-    pub faktory: Option<faktory::Operators>,
+    pub faktory: Option<faktory::OperatorHandle>,
 }
 
 impl Fronts {
     async fn is_known(&self, worker: &str) -> bool {
         match &self.faktory {
-            Some(faktory) if faktory.knows(worker).await => true,
+            Some(faktory) if faktory.is_known(worker).await => true,
             _ => self.channel.is_known_worker(worker).await,
         }
     }
@@ -47,7 +47,7 @@
         let bans: Arc<[Ban]> = set.bans.iter().map(ban).collect();
         self.channel.set_bans(bans.clone()).await;
         if let Some(faktory) = &self.faktory {
-            faktory.ban(bans).await;
+            faktory.set_bans(bans).await;
         }
     }
 }
