--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -212,7 +212,7 @@
     }
 
     /// Whether the log worker is listed or banned by an operator.
-    pub async fn is_known_worker(&self, worker: &str) -> bool {
+    pub async fn is_known(&self, worker: &str) -> bool {
         self.handle.is_known(worker).await
     }
 
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -35,7 +35,7 @@
     async fn is_known(&self, worker: &str) -> bool {
         match &self.faktory {
             Some(faktory) if faktory.is_known(worker).await => true,
-            _ => self.channel.is_known_worker(worker).await,
+            _ => self.channel.is_known(worker).await,
         }
     }
 
