--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -35,7 +35,7 @@
     async fn is_known(&self, worker: &str) -> bool {
         match &self.faktory {
             Some(faktory) if faktory.is_known(worker).await => true,
-            _ => self.channel.knows(worker).await,
+            _ => self.channel.is_known(worker).await,
         }
     }
 
@@ -45,7 +45,7 @@
         tracing::info!("manually ejected log workers: {names}");
         let ban = |(name, since): (&String, &i64)| Ban { worker: name.as_str().into(), since: Time(*since) };
         let bans: Arc<[Ban]> = set.bans.iter().map(ban).collect();
-        self.channel.ban(bans.clone()).await;
+        self.channel.set_bans(bans.clone()).await;
         if let Some(faktory) = &self.faktory {
             faktory.set_bans(bans).await;
         }
