--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -6,7 +6,7 @@
 use rookspoke_decisions::SettingsError;
 use serde::Serialize;
 
-use crate::model::play;
+use crate::model::run_scenario;
 use crate::policy::Kind;
 use crate::report::Report;
 use crate::rng::{stream, Stream};
@@ -45,7 +45,7 @@
 pub fn play_all(scenario: &Scenario, kinds: &[Kind], seeds: &[u64]) -> Result<Vec<Report>, SettingsError> {
     let runs: Vec<(Kind, u64)> =
         kinds.iter().flat_map(|kind| seeds.iter().map(|seed| (*kind, *seed))).collect();
-    runs.par_iter().map(|(kind, seed)| play(scenario, *kind, *seed)).collect()
+    runs.par_iter().map(|(kind, seed)| run_scenario(scenario, *kind, *seed)).collect()
 }
 
 /// A figure with its uncertainty.
--- a/crates/emulator/src/model/draw.rs
+++ b/crates/emulator/src/model/draw.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, LogNormal, Zipf};
 use rookspoke_decisions::Time;
 
-use super::{Make, Order};
+use super::{QueueOrder, WorkerSpec};
 use crate::rng::{stream, Stream};
 use crate::scenario::{Incident, Scenario};
 
@@ -22,33 +22,33 @@
     /// Running time at speed 1, in seconds.
     pub work: f64,
     /// When its client means to send it.
-    pub asked: Time,
+    pub intended_at: Time,
     /// Its client's zone.
     pub zone: usize,
 }
 
 /// What a scenario's log worker of this number is like.
-pub fn make(s: &Scenario, seed: u64, number: usize) -> Make {
+pub fn draw_worker_spec(s: &Scenario, seed: u64, number: usize) -> WorkerSpec {
     let spread = unit_log_normal(s.get("worker.speed-spread"));
-    Make {
+    WorkerSpec {
         cores: s.get("worker.cores"),
         slots: s.get("worker.slots"),
         queue: s.count("worker.queue"),
         order: match s.count("worker.order") {
-            0 => Order::Fifo,
-            1 => Order::Backfill,
-            _ => Order::Priority,
+            0 => QueueOrder::Fifo,
+            1 => QueueOrder::Backfill,
+            _ => QueueOrder::Priority,
         },
         speed: spread.sample(&mut stream(seed, Stream::Speed, number as u64)),
-        crowding: s.get("worker.crowding"),
-        cold_from: s.get("worker.cold-from"),
-        cold_for: s.span("worker.cold-for"),
+        contention: s.get("worker.crowding"),
+        initial_capacity: s.get("worker.cold-from"),
+        ramp: s.span("worker.cold-for"),
         archives: s.count("worker.archives"),
     }
 }
 
 /// All arrivals: they do not wait for answers. `clients` is the clients' stream of the seed.
-pub fn arrivals(s: &Scenario, seed: u64, clients: &mut SmallRng) -> Vec<Arrival> {
+pub fn draw_arrivals(s: &Scenario, seed: u64, clients: &mut SmallRng) -> Vec<Arrival> {
     let rate = s.get("clients.load") * s.capacity() / s.mean_work().max(1e-6);
     let (swing, every) = (s.get("clients.swing"), s.span("clients.swing-every").secs());
     let zipf = Zipf::new(s.get("clients.keys"), s.get("clients.skew")).ok();
@@ -90,21 +90,21 @@
             key,
             slots: slots.map_or(1.0, |slots| slots.0),
             work: s.classes[class].get("work") / 1000.0 * spread,
-            asked: Time::from_ms(at * 1000.0),
+            intended_at: Time::from_ms(at * 1000.0),
             zone,
         });
     }
 }
 
-/// Whether the arrival of this number, asked for at `asked`, is one of those that a `costly` incident makes dear.
-pub fn is_costly(seed: u64, number: usize, asked: Time, incident: &Incident) -> bool {
+/// Whether the arrival of this number, asked for at `intended_at`, is one of those that a `costly` incident makes dear.
+pub fn is_costly(seed: u64, number: usize, intended_at: Time, incident: &Incident) -> bool {
     let from = Time(0) + incident.at;
-    let within = asked >= from && asked < from + incident.length;
+    let within = intended_at >= from && intended_at < from + incident.length;
     within && stream(seed, Stream::Incident, number as u64 | 1 << 40).random::<f64>() < incident.part
 }
 
 /// Whom an incident hits: this part of `of`, drawn by the incident's number.
-pub fn hit(seed: u64, incident: usize, part: f64, of: usize) -> Vec<usize> {
+pub fn draw_affected(seed: u64, incident: usize, part: f64, of: usize) -> Vec<usize> {
     let mut rng = stream(seed, Stream::Incident, incident as u64);
     let mut all: Vec<usize> = (0..of).collect();
     // The first of a shuffled list (Fisher and Yates).
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -22,11 +22,11 @@
     Span, Time, WorthBy,
 };
 
-pub use draw::{arrivals, hit, is_costly, make, Arrival};
+pub use draw::{draw_affected, draw_arrivals, draw_worker_spec, is_costly, Arrival};
 pub use store::Store;
-pub use worker::{Begins, Job, Make, Order, Worker};
+pub use worker::{Job, QueueOrder, StartPhase, Worker, WorkerSpec};
 
-use crate::check::{Checker, Figures, Rule, RULES};
+use crate::check::{InvariantChecker, Rule, RuleLimits, RULES};
 use crate::policy::{Kind, Policy, SharedTruth, Way};
 use crate::report::{spread, Asked, ClassReport, Report, Score};
 use crate::rng::{stream, Stream};
@@ -79,7 +79,7 @@
     slots: f64,
     work: f64,
     /// When its client first meant to send it.
-    asked: Time,
+    intended_at: Time,
     zone: usize,
     tries: usize,
     /// Its present try.
@@ -119,7 +119,7 @@
 }
 
 /// One run.
-pub struct Day {
+pub struct Simulation {
     s: Scenario,
     seed: u64,
     now: Time,
@@ -138,7 +138,7 @@
     attempts: Vec<Attempt>,
     /// Attempts of a try that is under way at a dispatcher, by the try's id.
     open: BTreeMap<u64, Vec<usize>>,
-    checker: Checker,
+    checker: InvariantChecker,
     truth: SharedTruth,
     /// Somebody looks at it.
     sees_truth: bool,
@@ -165,7 +165,7 @@
 }
 
 /// The settings that a scenario's dispatchers are told.
-pub fn settings(s: &Scenario, number: usize) -> Settings {
+pub fn dispatcher_settings(s: &Scenario, number: usize) -> Settings {
     let zones: Vec<Name> = (0..s.count("zones")).map(zone_name).collect();
     let classes = s.classes.iter().map(|class| rookspoke_decisions::Class {
         name: class.name.as_str().into(),
@@ -221,13 +221,13 @@
 ///
 /// # Errors
 /// The scenario's settings make no sense to the decisions.
-pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Report, SettingsError> {
-    let mut day = Day::new(scenario, kind, seed)?;
-    day.run();
-    Ok(day.report(kind, seed))
+pub fn run_scenario(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Report, SettingsError> {
+    let mut simulation = Simulation::new(scenario, kind, seed)?;
+    simulation.run();
+    Ok(simulation.report(kind, seed))
 }
 
-impl Day {
+impl Simulation {
     fn new(s: &Scenario, kind: Kind, seed: u64) -> Result<Self, SettingsError> {
         let (workers, dispatchers, zones) = (s.count("workers"), s.count("dispatchers"), s.count("zones"));
         let truth = SharedTruth::default();
@@ -235,13 +235,13 @@
         for number in 0..dispatchers {
             let own_seed = stream(seed, Stream::Policy, number as u64).random();
             let rng = stream(seed, Stream::Policy, (number + dispatchers) as u64);
-            all.push(kind.build(&settings(s, number), own_seed, rng, &truth)?);
+            all.push(kind.build(&dispatcher_settings(s, number), own_seed, rng, &truth)?);
         }
         let machines = (0..workers).map(|number| {
             let rng = stream(seed, Stream::Report, number as u64);
-            Machine::new(Worker::new(make(s, seed, number)), number % zones, rng)
+            Machine::new(Worker::new(draw_worker_spec(s, seed, number)), number % zones, rng)
         });
-        let mut day = Day {
+        let mut simulation = Simulation {
             now: Time(0),
             end: Time(0) + s.span("length"),
             events: BinaryHeap::new(),
@@ -257,12 +257,12 @@
             next_id: 1,
             attempts: Vec::new(),
             open: BTreeMap::new(),
-            checker: Checker::new(Figures {
+            checker: InvariantChecker::new(RuleLimits {
                 answer_slack: s.span("rules.answer-slack"),
                 drain_grace: s.span("rules.drain-grace"),
-                fall_multiple: s.get("rules.fall-multiple"),
-                fall_span: s.span("rules.fall-span"),
-                alone: !s.on("limits.second-copies"),
+                overload_multiple: s.get("rules.fall-multiple"),
+                overload_window: s.span("rules.fall-span"),
+                forbid_parallel_attempts: !s.on("limits.second-copies"),
             }),
             truth: Rc::clone(&truth),
             sees_truth: kind == Kind::Plain(Way::Top),
@@ -286,12 +286,12 @@
             failed: 0,
             names: (0..workers).map(|n| Name::from(format!("w-{n:06}"))).collect(),
             zones: (0..zones).map(zone_name).collect(),
-            settings: Arc::new(settings(s, 0)),
+            settings: Arc::new(dispatcher_settings(s, 0)),
             s: s.clone(),
             seed,
         };
-        day.begin();
-        Ok(day)
+        simulation.begin();
+        Ok(simulation)
     }
 
     fn put(&mut self, at: Time, what: What) {
@@ -323,24 +323,24 @@
 
     /// All arrivals, drawn before anything happens: they do not wait for answers.
     fn plan_arrivals(&mut self) {
-        for Arrival { class, key, slots, work, asked, zone } in
-            arrivals(&self.s, self.seed, &mut self.clients)
+        for Arrival { class, key, slots, work, intended_at, zone } in
+            draw_arrivals(&self.s, self.seed, &mut self.clients)
         {
             let call = Call {
                 class,
                 key,
                 slots,
                 work,
-                asked,
+                intended_at,
                 zone,
                 tries: 0,
-                deadline: asked,
+                deadline: intended_at,
                 seat: 0,
                 id: 0,
                 over: false,
             };
             self.calls.push(call);
-            self.put(asked, What::Arrive(self.calls.len() - 1));
+            self.put(intended_at, What::Arrive(self.calls.len() - 1));
         }
     }
 
@@ -356,7 +356,7 @@
             }
         }
         self.now = last;
-        self.checker.overdue(last);
+        self.checker.check_overdue(last);
     }
 
     fn happens(&mut self, what: What) {
@@ -463,7 +463,7 @@
             deadline,
         };
         self.open.insert(id, Vec::new());
-        self.checker.taken(id, effect, deadline);
+        self.checker.job_accepted(id, effect, deadline);
         self.excuse(seat, id);
         self.tell(seat, Event::Request(request));
         self.put(deadline + self.s.span("rules.answer-slack") + Span(1), What::GivenUp(call));
@@ -474,7 +474,7 @@
         let Some(call) = self.by_id.get(&id).map(|call| &self.calls[*call]) else { return };
         let until = self.seats[seat].paused_until + self.settings.quantum;
         if call.seat == seat && self.seats[seat].paused && call.deadline < until {
-            self.checker.left(id);
+            self.checker.job_released(id);
         }
     }
 
@@ -488,7 +488,7 @@
             return;
         }
         if self.by_id.remove(&id).is_some() {
-            self.checker.overdue(self.now);
+            self.checker.check_overdue(self.now);
             self.calls[call].over = true;
             self.failed += 1;
             let seat = self.calls[call].seat;
@@ -499,14 +499,14 @@
     /// A final answer.
     fn answer(&mut self, id: u64, refused: bool, served: bool, advice: Option<Span>) {
         let Some(call) = self.by_id.remove(&id) else { return };
-        self.checker.answered(self.now, id, refused);
+        self.checker.job_answered(self.now, id, refused);
         let way = self.delay(self.s.span("net.client"));
         let one = &self.calls[call];
         let class = &self.s.classes[one.class];
         if served {
-            let took = self.now + way - one.asked;
+            let took = self.now + way - one.intended_at;
             let aim = class.get("aim") / 1000.0 + class.get("stretch") * one.work;
-            self.served.push((call, one.asked, took.secs() <= aim, took.secs()));
+            self.served.push((call, one.intended_at, took.secs() <= aim, took.secs()));
             self.latency.saturating_record(took.0.max(1) as u64);
             self.calls[call].over = true;
             return;
@@ -548,14 +548,14 @@
         for entry in entries {
             let Some(worker) = self.place(&entry.worker) else { continue };
             named.insert(worker);
-            self.checker.told(self.now, seat, worker, entry.readiness == Readiness::InService);
+            self.checker.worker_listed(self.now, seat, worker, entry.readiness == Readiness::InService);
             if let Some(started) = entry.started {
                 self.seats[seat].told_start.insert(worker, started);
             }
         }
         if scope == ListScope::Complete {
             for worker in (0..self.machines.len()).filter(|worker| !named.contains(worker)) {
-                self.checker.told(self.now, seat, worker, false);
+                self.checker.worker_listed(self.now, seat, worker, false);
             }
         }
     }
@@ -646,7 +646,7 @@
             return self.never_sent(seat, id, number);
         }
         self.counts.sent += 1;
-        self.checker.sent(now, seat, worker, id);
+        self.checker.attempt_sent(now, seat, worker, id);
         if self.seats[seat].zone != self.machines[worker].zone {
             self.counts.cross += 1;
         }
@@ -710,7 +710,7 @@
         }
         machine.connections += 1;
         machine.worker.advance(now);
-        machine.worker.burden(self.s.get("connection.opening") / 1000.0);
+        machine.worker.add_overhead(self.s.get("connection.opening") / 1000.0);
         self.counts.openings += 1;
         self.replan(worker);
         let turns = self.s.count("connection.turns") as i64;
@@ -740,7 +740,7 @@
         let machine = &mut self.machines[worker];
         machine.worker.advance(now);
         let job = Job { attempt, slots, work, key, worth: self.s.classes[class].get("worth") };
-        if machine.draining && self.s.on("worker.hands-back") || !machine.worker.take(job) {
+        if machine.draining && self.s.on("worker.hands-back") || !machine.worker.enqueue(job) {
             self.counts.turned_away += 1;
             let way = self.way(seat, worker);
             return self.after(way, What::Ended(attempt, Outcome::TurnedAway));
@@ -755,12 +755,12 @@
         let work = self.s.mean_work();
         let Attempt { seat, worker, .. } = self.attempts[attempt];
         let machine = &self.machines[worker];
-        if !machine.worker.is_cold(self.now) {
+        if !machine.worker.in_slow_start(self.now) {
             return false;
         }
         let told = self.seats[seat].told_start.get(&worker) == machine.worker.started.as_ref();
-        let capacity = machine.worker.nominal(self.now);
-        if !self.checker.loads(self.now, worker, work, told, capacity) {
+        let capacity = machine.worker.nominal_capacity(self.now);
+        if !self.checker.work_arrived(self.now, worker, work, told, capacity) {
             return false;
         }
         self.counts.falls += 1;
@@ -774,9 +774,9 @@
         let now = self.now;
         while let Some((job, begins)) = self.machines[worker].worker.start_next() {
             self.counts.starts += 1;
-            if begins == Begins::Fetches {
+            if begins == StartPhase::Fetching {
                 self.store.advance(now);
-                self.store.begin((worker, job.attempt), self.s.span("store.fetch"));
+                self.store.start_fetch((worker, job.attempt), self.s.span("store.fetch"));
                 self.replan_store();
             }
             let Attempt { seat, .. } = self.attempts[job.attempt];
@@ -791,7 +791,7 @@
     fn step(&mut self, worker: usize) {
         let now = self.now;
         self.machines[worker].worker.advance(now);
-        for job in self.machines[worker].worker.take_done() {
+        for job in self.machines[worker].worker.take_completed() {
             let attempt = &mut self.attempts[job.attempt];
             attempt.held = false;
             let (seat, out) = (attempt.seat, attempt.out);
@@ -808,8 +808,8 @@
         let machine = &mut self.machines[worker];
         machine.version += 1;
         let version = machine.version;
-        let mut next = machine.worker.next_end(now);
-        if machine.worker.is_cold(now) && !machine.worker.is_idle() {
+        let mut next = machine.worker.next_completion(now);
+        if machine.worker.in_slow_start(now) && !machine.worker.is_idle() {
             // It speeds up meanwhile.
             let step = now + STEP;
             next = Some(next.map_or(step, |next| next.min(step)));
@@ -821,7 +821,7 @@
 
     fn replan_store(&mut self) {
         self.store_version += 1;
-        if let Some(next) = self.store.next_end() {
+        if let Some(next) = self.store.next_completion() {
             self.put(next, What::StoreStep(self.store_version));
         }
     }
@@ -829,9 +829,9 @@
     fn step_store(&mut self) {
         let now = self.now;
         self.store.advance(now);
-        for (worker, attempt) in self.store.take_done() {
+        for (worker, attempt) in self.store.take_completed() {
             self.machines[worker].worker.advance(now);
-            self.machines[worker].worker.fetched(attempt);
+            self.machines[worker].worker.archive_fetched(attempt);
             self.replan(worker);
         }
         self.replan_store();
@@ -846,7 +846,7 @@
         }
         a.out = false;
         let (id, number, seat, worker, sent, epoch) = (a.id, a.number, a.seat, a.worker, a.sent, a.epoch);
-        self.checker.ended(id, number, outcome);
+        self.checker.attempt_ended(id, number, outcome);
         let machine = &mut self.machines[worker];
         if machine.epoch == epoch && machine.up {
             if let Outcome::Served | Outcome::TurnedAway | Outcome::Error = outcome {
@@ -883,10 +883,10 @@
             return;
         }
         machine.worker.advance(self.now);
-        if machine.worker.drop_job(attempt, self.s.on("worker.cancels-running")) {
+        if machine.worker.remove_job(attempt, self.s.on("worker.cancels-running")) {
             self.attempts[attempt].held = false;
             self.store.advance(self.now);
-            self.store.forget(worker, Some(attempt));
+            self.store.cancel_fetches(worker, Some(attempt));
             self.replan_store();
             self.start(worker);
         }
@@ -902,8 +902,8 @@
         if machine.up && !machine.worker.paused {
             machine.worker.advance(now);
             let mut off = || 1.0 + noise * (2.0 * machine.rng.random::<f64>() - 1.0);
-            let free = (machine.worker.free() * off()).max(0.0);
-            let util = (machine.worker.util() * off()).clamp(0.0, 1.0);
+            let free = (machine.worker.free_slots() * off()).max(0.0);
+            let util = (machine.worker.utilization() * off()).clamp(0.0, 1.0);
             let load = LoadReport { free_slots: Some(free), util: Some(util), ..LoadReport::default() };
             machine.reports.push_back((now + late, load));
         }
@@ -921,7 +921,7 @@
         }
         let machine = &mut self.machines[worker];
         machine.worker.advance(now);
-        machine.worker.burden(self.s.get("probe.work") / 1000.0);
+        machine.worker.add_overhead(self.s.get("probe.work") / 1000.0);
         self.replan(worker);
         let way = self.way(seat, worker);
         self.after(way, What::Probed(seat, worker, true));
@@ -1015,7 +1015,7 @@
         if self.sees_truth {
             self.tell_truth();
         }
-        self.checker.overdue(now);
+        self.checker.check_overdue(now);
         if self.resets > 0.0 {
             self.reset_some();
         }
@@ -1033,7 +1033,11 @@
         truth.bears = self
             .machines
             .iter()
-            .map(|m| m.worker.is_cold(now).then(|| self.s.get("rules.fall-multiple") * m.worker.nominal(now)))
+            .map(|m| {
+                m.worker
+                    .in_slow_start(now)
+                    .then(|| self.s.get("rules.fall-multiple") * m.worker.nominal_capacity(now))
+            })
             .collect();
         truth.keeps = self.machines.iter().map(|m| m.worker.archives().to_vec()).collect();
     }
@@ -1062,12 +1066,12 @@
         let now = self.now;
         let machine = &mut self.machines[worker];
         machine.worker.advance(now);
-        let lost = machine.worker.die();
+        let lost = machine.worker.terminate();
         (machine.up, machine.silent, machine.draining, machine.connections) = (false, silent, false, 0);
         machine.epoch += 1;
         machine.reports.clear();
         self.store.advance(now);
-        self.store.forget(worker, None);
+        self.store.cancel_fetches(worker, None);
         self.replan_store();
         self.replan(worker);
         for job in lost {
@@ -1093,7 +1097,7 @@
         machine.worker.started = Some(now);
         machine.epoch += 1;
         self.seats.iter_mut().for_each(|seat| drop(seat.idle.remove(&worker)));
-        self.checker.restarts(worker);
+        self.checker.worker_restarted(worker);
         self.after(self.s.span("discovery.notices"), What::Notice(worker, Seen::Active(Some(now))));
     }
 
@@ -1105,7 +1109,7 @@
         self.after(self.s.span("discovery.notices"), What::Notice(worker, Seen::Draining));
         if self.s.on("worker.hands-back") {
             self.machines[worker].worker.advance(self.now);
-            for job in self.machines[worker].worker.hand_back() {
+            for job in self.machines[worker].worker.take_waiting() {
                 let attempt = &mut self.attempts[job.attempt];
                 attempt.held = false;
                 let seat = attempt.seat;
@@ -1131,7 +1135,7 @@
     fn begin_incident(&mut self, number: usize) {
         let incident = self.s.incidents[number];
         let of = if incident.trouble == Trouble::HostPause { self.seats.len() } else { self.machines.len() };
-        let all = hit(self.seed, number, incident.part, of);
+        let all = draw_affected(self.seed, number, incident.part, of);
         self.hit[number] = all.clone();
         let Incident { size, length, .. } = incident;
         match incident.trouble {
@@ -1154,7 +1158,7 @@
                 }
                 return;
             }
-            Trouble::Slow => self.each(number, |machine| machine.worker.slow *= size.max(1e-3)),
+            Trouble::Slow => self.each(number, |machine| machine.worker.slowdown *= size.max(1e-3)),
             Trouble::Neighbour => self.toggle(number, true),
             // Scripts with these are not read for this stage.
             Trouble::DiscoverySilent
@@ -1191,7 +1195,7 @@
     /// Jobs that are yet to come cost more: drawn for each by its place, not by when it comes.
     fn make_costly(&mut self, incident: Incident) {
         for (number, call) in self.calls.iter_mut().enumerate() {
-            if is_costly(self.seed, number, call.asked, &incident) {
+            if is_costly(self.seed, number, call.intended_at, &incident) {
                 call.work *= incident.size;
             }
         }
@@ -1210,7 +1214,7 @@
         let incident = self.s.incidents[number];
         let over = self.now >= Time(0) + incident.at + incident.length;
         let taken = if on && !over { incident.size.clamp(0.0, 0.99) } else { 0.0 };
-        self.each(number, |machine| machine.worker.taken = taken);
+        self.each(number, |machine| machine.worker.cpu_steal = taken);
         if !over {
             self.after(Span(1_000_000), What::Toggle(number, !on));
         }
@@ -1219,7 +1223,7 @@
     fn finish_incident(&mut self, number: usize) {
         let Incident { trouble, size, .. } = self.s.incidents[number];
         match trouble {
-            Trouble::Slow => self.each(number, |machine| machine.worker.slow /= size.max(1e-3)),
+            Trouble::Slow => self.each(number, |machine| machine.worker.slowdown /= size.max(1e-3)),
             Trouble::Pause => self.each(number, |machine| machine.worker.paused = false),
             Trouble::ReportsLate => self.late_reports = self.late_reports - size_span(size),
             Trouble::Resets => self.resets = (self.resets - size).max(0.0),
@@ -1250,7 +1254,7 @@
         }
         let asked = self.calls.iter().zip(in_time);
         let asked: Vec<Asked> =
-            asked.map(|(call, in_time)| Asked { class: call.class, at: call.asked, in_time }).collect();
+            asked.map(|(call, in_time)| Asked { class: call.class, at: call.intended_at, in_time }).collect();
         let score = Score::of(&self.s, &asked);
         let classes = self.s.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
@@ -1259,8 +1263,10 @@
             service: score.classes[class],
         });
         let quantile = |q: f64| self.latency.value_at_quantile(q) as f64 / 1000.0;
-        let broken: BTreeMap<String, u64> =
-            RULES.iter().map(|rule: &Rule| (rule.name().to_owned(), self.checker.broken(*rule))).collect();
+        let broken: BTreeMap<String, u64> = RULES
+            .iter()
+            .map(|rule: &Rule| (rule.name().to_owned(), self.checker.violations(*rule)))
+            .collect();
         Report {
             policy: kind.name().into(),
             seed,
@@ -1281,15 +1287,15 @@
             cross_zone: self.counts.cross,
             openings: self.counts.openings,
             probes: self.counts.probes,
-            fetches: self.store.begun,
+            fetches: self.store.fetches_started,
             starts: self.counts.starts,
             falls: self.counts.falls,
             mean_ms: self.latency.mean() / 1000.0,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
-            spread: spread(&self.machines.iter().map(|m| m.worker.worked).collect::<Vec<_>>()),
+            spread: spread(&self.machines.iter().map(|m| m.worker.core_seconds).collect::<Vec<_>>()),
             rules: broken,
-            first_broken: self.checker.sentences().to_vec(),
+            first_broken: self.checker.first_violations().to_vec(),
         }
     }
 }
--- a/crates/emulator/src/model/worker.rs
+++ b/crates/emulator/src/model/worker.rs
@@ -6,7 +6,7 @@
 
 /// What a log worker is like.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
+pub struct WorkerSpec {
     /// Cores.
     pub cores: f64,
     /// Slots.
@@ -14,22 +14,22 @@
     /// Jobs that wait at most.
     pub queue: usize,
     /// Which waiting job starts.
-    pub order: Order,
+    pub order: QueueOrder,
     /// Speed of a core, against a standard one.
     pub speed: f64,
     /// Speed lost for each slot in use beyond the cores.
-    pub crowding: f64,
+    pub contention: f64,
     /// The part of its speed that it starts with.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// How long it takes to become warm.
-    pub cold_for: Span,
+    pub ramp: Span,
     /// Archives that it keeps.
     pub archives: usize,
 }
 
 /// Which waiting job starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum QueueOrder {
     /// The first, once it fits.
     Fifo,
     /// The first that fits.
@@ -63,129 +63,129 @@
 
 /// What a job that starts does first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begins {
+pub enum StartPhase {
     /// It runs.
-    Runs,
+    Running,
     /// It fetches its archive.
-    Fetches,
+    Fetching,
 }
 
 /// A log worker's process and machine.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    make: Make,
+    spec: WorkerSpec,
     /// When the process last started; none means long ago.
     pub started: Option<Time>,
     /// How many times slower it is at present.
-    pub slow: f64,
+    pub slowdown: f64,
     /// The part of the machine that another program takes.
-    pub taken: f64,
+    pub cpu_steal: f64,
     /// It stands still.
     pub paused: bool,
     waiting: VecDeque<Job>,
     running: Vec<Running>,
     used: f64,
     /// Archives, the one used last at the end.
-    kept: Vec<u64>,
+    archives: Vec<u64>,
     /// Work besides jobs that is still to be done: seconds of a core.
-    debt: f64,
-    last: Time,
+    overhead: f64,
+    updated_at: Time,
     /// Seconds of a core spent on jobs.
-    pub worked: f64,
+    pub core_seconds: f64,
 }
 
 impl Worker {
     /// One that has been warm for long.
-    pub fn new(make: Make) -> Self {
+    pub fn new(spec: WorkerSpec) -> Self {
         Worker {
-            make,
+            spec,
             started: None,
-            slow: 1.0,
-            taken: 0.0,
+            slowdown: 1.0,
+            cpu_steal: 0.0,
             paused: false,
             waiting: VecDeque::new(),
             running: Vec::new(),
             used: 0.0,
-            kept: Vec::new(),
-            debt: 0.0,
-            last: Time(0),
-            worked: 0.0,
+            archives: Vec::new(),
+            overhead: 0.0,
+            updated_at: Time(0),
+            core_seconds: 0.0,
         }
     }
 
     /// The part of its speed that it has warmed up to.
-    pub fn warmth(&self, now: Time) -> f64 {
+    pub fn ramp_factor(&self, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let part = (now - started).secs() / self.make.cold_for.secs().max(1e-9);
-        self.make.cold_from + (1.0 - self.make.cold_from) * part.clamp(0.0, 1.0)
+        let part = (now - started).secs() / self.spec.ramp.secs().max(1e-9);
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part.clamp(0.0, 1.0)
     }
 
     /// Whether it is still warming up.
-    pub fn is_cold(&self, now: Time) -> bool {
-        self.started.is_some_and(|started| now - started < self.make.cold_for)
+    pub fn in_slow_start(&self, now: Time) -> bool {
+        self.started.is_some_and(|started| now - started < self.spec.ramp)
     }
 
     /// Work that it can do in a second at present: seconds of a core.
     pub fn capacity(&self, now: Time) -> f64 {
-        self.make.cores.min(self.make.slots) * self.factor(now)
+        self.spec.cores.min(self.spec.slots) * self.core_speed(now)
     }
 
     /// Work that it could do in a second with nothing in its way: as warm as it is, but neither paused nor slowed
     /// down. The fall-over rule goes by this.
-    pub fn nominal(&self, now: Time) -> f64 {
-        self.make.cores.min(self.make.slots) * self.make.speed * self.warmth(now)
+    pub fn nominal_capacity(&self, now: Time) -> f64 {
+        self.spec.cores.min(self.spec.slots) * self.spec.speed * self.ramp_factor(now)
     }
 
     /// Speed of one core at present.
-    fn factor(&self, now: Time) -> f64 {
+    fn core_speed(&self, now: Time) -> f64 {
         match self.paused {
             true => 0.0,
-            false => self.make.speed * self.warmth(now) * (1.0 - self.taken) / self.slow,
+            false => self.spec.speed * self.ramp_factor(now) * (1.0 - self.cpu_steal) / self.slowdown,
         }
     }
 
     /// How fast each running job goes: cores are shared out evenly over slots that are not fetching.
-    fn rate(&self, now: Time) -> f64 {
+    fn job_speed(&self, now: Time) -> f64 {
         let busy: f64 = self.running.iter().filter(|r| !r.fetching).map(|r| r.job.slots).sum();
-        let share = if busy > self.make.cores { self.make.cores / busy } else { 1.0 };
-        let crowded = (1.0 - self.make.crowding * (self.used - self.make.cores).max(0.0)).max(0.1);
-        self.factor(now) * share * crowded
+        let share = if busy > self.spec.cores { self.spec.cores / busy } else { 1.0 };
+        let crowded = (1.0 - self.spec.contention * (self.used - self.spec.cores).max(0.0)).max(0.1);
+        self.core_speed(now) * share * crowded
     }
 
     /// Brings it up to the present. The rate is taken as it was at the last step: while it is cold, steps have to
     /// be short.
     pub fn advance(&mut self, now: Time) {
-        let mut passed = (now - self.last).secs();
-        let rate = self.rate(self.last);
-        let can = self.make.cores * self.factor(self.last);
-        if self.debt > 0.0 && can > 0.0 {
-            let paid = self.debt.min(can * passed);
-            self.debt -= paid;
+        let mut passed = (now - self.updated_at).secs();
+        let rate = self.job_speed(self.updated_at);
+        let can = self.spec.cores * self.core_speed(self.updated_at);
+        if self.overhead > 0.0 && can > 0.0 {
+            let paid = self.overhead.min(can * passed);
+            self.overhead -= paid;
             passed -= paid / can;
         }
-        self.last = now;
+        self.updated_at = now;
         for running in self.running.iter_mut().filter(|r| !r.fetching) {
             let done = (rate * passed).min(running.left);
             running.left -= done;
-            self.worked += done * running.job.slots;
+            self.core_seconds += done * running.job.slots;
         }
     }
 
     /// When the next job ends, as things stand.
-    pub fn next_end(&self, now: Time) -> Option<Time> {
-        let rate = self.rate(now);
+    pub fn next_completion(&self, now: Time) -> Option<Time> {
+        let rate = self.job_speed(now);
         let least = self.running.iter().filter(|r| !r.fetching).map(|r| r.left).fold(f64::INFINITY, f64::min);
         if rate <= 0.0 || !least.is_finite() {
             return None;
         }
-        let debt = self.debt / (self.make.cores * self.factor(now)).max(1e-9);
-        Some(now + Span(((least / rate + debt) * 1e6).ceil() as i64))
+        let overhead = self.overhead / (self.spec.cores * self.core_speed(now)).max(1e-9);
+        Some(now + Span(((least / rate + overhead) * 1e6).ceil() as i64))
     }
 
     /// Takes a job in; false where it is turned away unseen.
-    pub fn take(&mut self, job: Job) -> bool {
-        let never_fits = job.slots > self.make.slots;
-        let room = self.waiting.len() < self.make.queue || (self.waiting.is_empty() && self.fits(&job));
+    pub fn enqueue(&mut self, job: Job) -> bool {
+        let never_fits = job.slots > self.spec.slots;
+        let room = self.waiting.len() < self.spec.queue || (self.waiting.is_empty() && self.fits(&job));
         if never_fits || !room {
             return false;
         }
@@ -194,19 +194,19 @@
     }
 
     fn fits(&self, job: &Job) -> bool {
-        self.used + job.slots <= self.make.slots
+        self.used + job.slots <= self.spec.slots
     }
 
     /// Starts the next waiting job, if one may start.
-    pub fn start_next(&mut self) -> Option<(Job, Begins)> {
+    pub fn start_next(&mut self) -> Option<(Job, StartPhase)> {
         if self.paused {
             return None;
         }
         let fits = |job: &Job| self.fits(job);
-        let place = match self.make.order {
-            Order::Fifo => self.waiting.front().filter(|job| fits(job)).map(|_| 0),
-            Order::Backfill => self.waiting.iter().position(fits),
-            Order::Priority => {
+        let place = match self.spec.order {
+            QueueOrder::Fifo => self.waiting.front().filter(|job| fits(job)).map(|_| 0),
+            QueueOrder::Backfill => self.waiting.iter().position(fits),
+            QueueOrder::Priority => {
                 let fitting = self.waiting.iter().enumerate().filter(|(_, job)| fits(job));
                 // The first of the worthiest.
                 fitting.min_by(|a, b| b.1.worth.total_cmp(&a.1.worth).then(a.0.cmp(&b.0))).map(|best| best.0)
@@ -216,32 +216,32 @@
         let fetching = !self.use_archive(job.key);
         self.used += job.slots;
         self.running.push(Running { job, left: job.work, fetching });
-        Some((job, if fetching { Begins::Fetches } else { Begins::Runs }))
+        Some((job, if fetching { StartPhase::Fetching } else { StartPhase::Running }))
     }
 
     /// Whether the archive is here; if so, it is the one used last from now on.
     fn use_archive(&mut self, key: u64) -> bool {
-        let Some(at) = self.kept.iter().position(|kept| *kept == key) else { return false };
-        self.kept.remove(at);
-        self.kept.push(key);
+        let Some(at) = self.archives.iter().position(|kept| *kept == key) else { return false };
+        self.archives.remove(at);
+        self.archives.push(key);
         true
     }
 
     /// An archive has come for a job, which runs from now on.
-    pub fn fetched(&mut self, attempt: usize) {
+    pub fn archive_fetched(&mut self, attempt: usize) {
         let Some(running) = self.running.iter_mut().find(|r| r.job.attempt == attempt) else { return };
         running.fetching = false;
         let key = running.job.key;
         if !self.use_archive(key) {
-            self.kept.push(key);
-            if self.kept.len() > self.make.archives {
-                self.kept.remove(0);
+            self.archives.push(key);
+            if self.archives.len() > self.spec.archives {
+                self.archives.remove(0);
             }
         }
     }
 
     /// Jobs that are done.
-    pub fn take_done(&mut self) -> Vec<Job> {
+    pub fn take_completed(&mut self) -> Vec<Job> {
         let (done, left): (Vec<Running>, Vec<Running>) =
             self.running.drain(..).partition(|r| !r.fetching && r.left <= 1e-9);
         self.running = left;
@@ -250,7 +250,7 @@
     }
 
     /// Takes a job out, wherever it is; a running one only where `running` says so. Whether it was there.
-    pub fn drop_job(&mut self, attempt: usize, running: bool) -> bool {
+    pub fn remove_job(&mut self, attempt: usize, running: bool) -> bool {
         if let Some(at) = self.waiting.iter().position(|job| job.attempt == attempt) {
             self.waiting.remove(at);
             return true;
@@ -262,32 +262,32 @@
     }
 
     /// Everything that waits, which leaves.
-    pub fn hand_back(&mut self) -> Vec<Job> {
+    pub fn take_waiting(&mut self) -> Vec<Job> {
         self.waiting.drain(..).collect()
     }
 
     /// The process is gone, with all that it held.
-    pub fn die(&mut self) -> Vec<Job> {
+    pub fn terminate(&mut self) -> Vec<Job> {
         let all = self.waiting.drain(..).chain(self.running.drain(..).map(|r| r.job)).collect();
-        (self.used, self.debt) = (0.0, 0.0);
-        self.kept.clear();
+        (self.used, self.overhead) = (0.0, 0.0);
+        self.archives.clear();
         all
     }
 
     /// Work besides jobs: a probe, a new connection. In seconds of a core.
-    pub fn burden(&mut self, work: f64) {
-        self.debt += work;
+    pub fn add_overhead(&mut self, work: f64) {
+        self.overhead += work;
     }
 
     /// Slots that are free.
-    pub fn free(&self) -> f64 {
-        self.make.slots - self.used
+    pub fn free_slots(&self) -> f64 {
+        self.spec.slots - self.used
     }
 
     /// The part of its cores in use.
-    pub fn util(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         let busy: f64 = self.running.iter().filter(|r| !r.fetching).map(|r| r.job.slots).sum();
-        (busy / self.make.cores).min(1.0)
+        (busy / self.spec.cores).min(1.0)
     }
 
     /// Jobs that wait.
@@ -304,12 +304,12 @@
 
     /// The archives that it keeps.
     pub fn archives(&self) -> &[u64] {
-        &self.kept
+        &self.archives
     }
 
     /// Whether the archive is here.
-    pub fn keeps(&self, key: u64) -> bool {
-        self.kept.contains(&key)
+    pub fn has_archive(&self, key: u64) -> bool {
+        self.archives.contains(&key)
     }
 
     /// Whether it holds nothing.
@@ -322,15 +322,15 @@
 mod tests {
     use super::*;
 
-    const MAKE: Make = Make {
+    const SPEC: WorkerSpec = WorkerSpec {
         cores: 2.0,
         slots: 4.0,
         queue: 3,
-        order: Order::Fifo,
+        order: QueueOrder::Fifo,
         speed: 1.0,
-        crowding: 0.0,
-        cold_from: 0.25,
-        cold_for: Span(10_000_000),
+        contention: 0.0,
+        initial_capacity: 0.25,
+        ramp: Span(10_000_000),
         archives: 2,
     };
 
@@ -343,12 +343,12 @@
     }
 
     /// Takes and starts jobs, with their archives at hand.
-    fn running(make: Make, jobs: &[Job]) -> Worker {
-        let mut worker = Worker::new(make);
+    fn running(spec: WorkerSpec, jobs: &[Job]) -> Worker {
+        let mut worker = Worker::new(spec);
         for job in jobs {
-            assert!(worker.take(*job));
+            assert!(worker.enqueue(*job));
             while let Some((job, _)) = worker.start_next() {
-                worker.fetched(job.attempt);
+                worker.archive_fetched(job.attempt);
             }
         }
         worker
@@ -356,85 +356,88 @@
 
     #[test]
     fn jobs_beyond_the_cores_share_them() {
-        let alone = running(MAKE, &[job(0, 1.0, 1), job(1, 1.0, 1)]);
-        assert_eq!(alone.next_end(at(0.0)), Some(at(1.0)));
-        let shared = running(MAKE, &[job(0, 2.0, 1), job(1, 2.0, 1)]);
-        assert_eq!(shared.next_end(at(0.0)), Some(at(2.0)));
+        let alone = running(SPEC, &[job(0, 1.0, 1), job(1, 1.0, 1)]);
+        assert_eq!(alone.next_completion(at(0.0)), Some(at(1.0)));
+        let shared = running(SPEC, &[job(0, 2.0, 1), job(1, 2.0, 1)]);
+        assert_eq!(shared.next_completion(at(0.0)), Some(at(2.0)));
     }
 
     #[test]
     fn the_first_waits_until_it_fits_and_backfill_passes_it() {
         let jobs = [job(0, 3.0, 1), job(1, 2.0, 1), job(2, 1.0, 1)];
-        let mut fifo = running(MAKE, &jobs);
-        assert_eq!((fifo.queued(), fifo.free()), (2, 1.0));
+        let mut fifo = running(SPEC, &jobs);
+        assert_eq!((fifo.queued(), fifo.free_slots()), (2, 1.0));
         fifo.advance(at(10.0));
-        assert_eq!(fifo.take_done().len(), 1);
-        let backfill = running(Make { order: Order::Backfill, ..MAKE }, &jobs);
-        assert_eq!((backfill.queued(), backfill.free()), (1, 0.0));
+        assert_eq!(fifo.take_completed().len(), 1);
+        let backfill = running(WorkerSpec { order: QueueOrder::Backfill, ..SPEC }, &jobs);
+        assert_eq!((backfill.queued(), backfill.free_slots()), (1, 0.0));
     }
 
     #[test]
     fn priority_starts_the_worthiest_that_fits() {
-        let mut worker = running(Make { order: Order::Priority, ..MAKE }, &[job(0, 4.0, 1)]);
+        let mut worker = running(WorkerSpec { order: QueueOrder::Priority, ..SPEC }, &[job(0, 4.0, 1)]);
         for n in 1..4 {
-            assert!(worker.take(job(n, 2.0, 1)));
+            assert!(worker.enqueue(job(n, 2.0, 1)));
         }
-        assert!(!worker.take(job(4, 1.0, 1)), "the queue is full");
+        assert!(!worker.enqueue(job(4, 1.0, 1)), "the queue is full");
         worker.advance(at(10.0));
-        worker.take_done();
+        worker.take_completed();
         assert_eq!(worker.start_next().map(|(job, _)| job.attempt), Some(3));
     }
 
     #[test]
     fn it_warms_up_evenly_and_a_pause_stops_it() {
-        let mut worker = Worker::new(MAKE);
+        let mut worker = Worker::new(SPEC);
         worker.started = Some(at(0.0));
-        assert_eq!(worker.warmth(at(0.0)), 0.25);
-        assert_eq!(worker.warmth(at(5.0)), 0.625);
-        assert_eq!(worker.warmth(at(20.0)), 1.0);
+        assert_eq!(worker.ramp_factor(at(0.0)), 0.25);
+        assert_eq!(worker.ramp_factor(at(5.0)), 0.625);
+        assert_eq!(worker.ramp_factor(at(20.0)), 1.0);
         worker.paused = true;
         assert_eq!(worker.capacity(at(20.0)), 0.0);
-        assert!(worker.take(job(0, 1.0, 1)));
+        assert!(worker.enqueue(job(0, 1.0, 1)));
         assert!(worker.start_next().is_none());
     }
 
     #[test]
     fn the_archive_unused_for_longest_goes() {
-        let mut worker = running(MAKE, &[job(0, 1.0, 1), job(1, 1.0, 2), job(2, 1.0, 1)]);
-        worker.take(job(3, 1.0, 3));
+        let mut worker = running(SPEC, &[job(0, 1.0, 1), job(1, 1.0, 2), job(2, 1.0, 1)]);
+        worker.enqueue(job(3, 1.0, 3));
         let (_, begins) = worker.start_next().expect("it starts");
-        assert_eq!(begins, Begins::Fetches);
-        worker.fetched(3);
-        assert_eq!((worker.keeps(1), worker.keeps(2), worker.keeps(3)), (true, false, true));
+        assert_eq!(begins, StartPhase::Fetching);
+        worker.archive_fetched(3);
+        assert_eq!(
+            (worker.has_archive(1), worker.has_archive(2), worker.has_archive(3)),
+            (true, false, true)
+        );
     }
 
     #[test]
     fn other_work_holds_jobs_up() {
-        let mut worker = running(MAKE, &[job(0, 1.0, 1)]);
-        worker.burden(1.0);
-        assert_eq!(worker.next_end(at(0.0)), Some(at(1.5)));
+        let mut worker = running(SPEC, &[job(0, 1.0, 1)]);
+        worker.add_overhead(1.0);
+        assert_eq!(worker.next_completion(at(0.0)), Some(at(1.5)));
         worker.advance(at(1.5));
-        assert_eq!(worker.take_done().len(), 1);
+        assert_eq!(worker.take_completed().len(), 1);
     }
 
     proptest::proptest! {
         /// Whatever comes and goes, slots are neither made nor lost.
         #[test]
         fn slots_in_use_are_those_of_running_jobs(steps in proptest::collection::vec((0u8..5, 0usize..12), 1..80)) {
-            let mut worker = Worker::new(MAKE);
+            let mut worker = Worker::new(SPEC);
             for (n, (what, which)) in steps.into_iter().enumerate() {
                 let now = at(n as f64 * 0.3);
                 worker.advance(now);
                 match what {
-                    0 => drop(worker.take(job(which, (1 + which % 4) as f64, which as u64 % 3))),
+                    0 => drop(worker.enqueue(job(which, (1 + which % 4) as f64, which as u64 % 3))),
                     1 => drop(worker.start_next()),
-                    2 => worker.fetched(which),
-                    3 => drop(worker.drop_job(which, true)),
-                    _ => drop(worker.take_done()),
+                    2 => worker.archive_fetched(which),
+                    3 => drop(worker.remove_job(which, true)),
+                    _ => drop(worker.take_completed()),
                 }
                 let used: f64 = worker.running.iter().map(|r| r.job.slots).sum();
                 proptest::prop_assert_eq!(used, worker.used);
-                proptest::prop_assert!(worker.used <= MAKE.slots && worker.waiting.len() <= MAKE.queue);
+                proptest::prop_assert!(worker.used <= SPEC.slots && worker.waiting.len() <= SPEC.queue);
             }
         }
     }
--- a/crates/emulator/tests/emulator.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -2,7 +2,7 @@
 
 use rookspoke_emulator::check::{Rule, RULES};
 use rookspoke_emulator::experiment::{compare, play_all, set};
-use rookspoke_emulator::model::play;
+use rookspoke_emulator::model::run_scenario;
 use rookspoke_emulator::policy::{Fault, Kind, Way, NAMED};
 use rookspoke_emulator::report::Report;
 use rookspoke_emulator::scenario::{Scenario, Stage};
@@ -61,7 +61,8 @@
     let one = bytes(1);
     assert_eq!(one, bytes(1));
     assert_eq!(one, bytes(4));
-    let other = serde_json::to_string(&play(&scenario, Kind::Ours, 4).expect("settings")).expect("JSON");
+    let other =
+        serde_json::to_string(&run_scenario(&scenario, Kind::Ours, 4).expect("settings")).expect("JSON");
     assert!(!one.contains(&other), "another seed is another day");
 }
 
@@ -115,7 +116,7 @@
         let load = 0.6 * 12.0 / workers as f64;
         set(&mut scenario, "workers", &workers.to_string()).expect("a number");
         set(&mut scenario, "clients.load", &load.to_string()).expect("a number");
-        play(&scenario, Kind::Plain(Way::Random), 3).expect("settings").jobs
+        run_scenario(&scenario, Kind::Plain(Way::Random), 3).expect("settings").jobs
     };
     assert_eq!(jobs(12), jobs(13));
 }
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -7,7 +7,7 @@
 
 use clap::Args;
 use rookspoke_decisions::Span;
-use rookspoke_emulator::model::arrivals;
+use rookspoke_emulator::model::draw_arrivals;
 use rookspoke_emulator::report::Score;
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::{Scenario, Stage};
@@ -229,7 +229,7 @@
         let seats: Vec<Seat> = what.to.iter().map(|to| Seat::at(*to)).collect();
         let lateness = Lateness::default();
         let load = Load::new(&scenario, what.seed, Arc::new(seats), watch.clone(), lateness.clone());
-        let jobs = arrivals(&scenario, what.seed, &mut stream(what.seed, Stream::Clients, 0));
+        let jobs = draw_arrivals(&scenario, what.seed, &mut stream(what.seed, Stream::Clients, 0));
         load.run(watch.clock().now() + Span(200_000), &jobs).await;
         watch.close();
         let counted = load.counted();
--- a/crates/rig/src/dispatcher.rs
+++ b/crates/rig/src/dispatcher.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use rookspoke_emulator::model::settings;
+use rookspoke_emulator::model::dispatcher_settings;
 use rookspoke_emulator::scenario::Scenario;
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -94,7 +94,7 @@
 
 /// The platform's JSON for a scenario's dispatcher of this number.
 pub fn config(s: &Scenario, number: usize, address: IpAddr, discovery: SocketAddr, seed: u64) -> Value {
-    let set = settings(s, number);
+    let set = dispatcher_settings(s, number);
     let classes: Vec<Value> = s
         .classes
         .iter()
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -174,15 +174,15 @@
         let clock = self.0.watch.clock();
         let mut all = tokio::task::JoinSet::new();
         for arrival in arrivals {
-            let meant = begin + (arrival.asked - Time(0));
+            let meant = begin + (arrival.intended_at - Time(0));
             self.0.lateness.record(clock.sleep_until(meant).await);
             let (load, mut arrival) = (self.clone(), *arrival);
             let number = {
                 let mut counted = lock(&self.0.counted);
-                counted.asked.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
+                counted.asked.push(Asked { class: arrival.class, at: arrival.intended_at, in_time: false });
                 counted.asked.len() - 1
             };
-            arrival.asked = meant;
+            arrival.intended_at = meant;
             all.spawn(async move { load.job(number, arrival).await });
             while all.try_join_next().is_some() {}
         }
@@ -203,7 +203,7 @@
                 let mut counted = lock(&self.0.counted);
                 match end {
                     End::Served => {
-                        let took = now - arrival.asked;
+                        let took = now - arrival.intended_at;
                         let aim = class.get("aim") / 1000.0 + class.get("stretch") * arrival.work;
                         counted.asked[number].in_time = took.secs() <= aim;
                         counted.late[arrival.class] += usize::from(took.secs() > aim);
--- a/crates/rig/src/plant.rs
+++ b/crates/rig/src/plant.rs
@@ -17,8 +17,8 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rookspoke_decisions::{Span, Time};
-use rookspoke_emulator::check::{Checker, Figures, Rule};
-use rookspoke_emulator::model::{make, Begins, Job, Store, Worker};
+use rookspoke_emulator::check::{InvariantChecker, Rule, RuleLimits};
+use rookspoke_emulator::model::{draw_worker_spec, Job, StartPhase, Store, Worker};
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::Scenario;
 use serde::{Deserialize, Serialize};
@@ -99,7 +99,7 @@
     attempts: HashMap<usize, Attempt>,
     next: usize,
     /// Judges who pushed a cold one over.
-    checker: Checker,
+    checker: InvariantChecker,
     falls_blamed: u64,
     late_reports: Span,
     /// Attempts that processes died over.
@@ -147,7 +147,7 @@
         let mut machines = Vec::new();
         for number in 0..listeners.len() {
             machines.push(Machine {
-                worker: Worker::new(make(s, seed, number)),
+                worker: Worker::new(draw_worker_spec(s, seed, number)),
                 state: watch::Sender::new(State::Up(0)),
                 draining: false,
                 epoch: 0,
@@ -170,12 +170,12 @@
             due,
             attempts: HashMap::new(),
             next: 0,
-            checker: Checker::new(Figures {
+            checker: InvariantChecker::new(RuleLimits {
                 answer_slack: s.span("rules.answer-slack"),
                 drain_grace: s.span("rules.drain-grace"),
-                fall_multiple: s.get("rules.fall-multiple"),
-                fall_span: s.span("rules.fall-span"),
-                alone: false,
+                overload_multiple: s.get("rules.fall-multiple"),
+                overload_window: s.span("rules.fall-span"),
+                forbid_parallel_attempts: false,
             }),
             falls_blamed: 0,
             late_reports: Span(0),
@@ -249,8 +249,8 @@
         let now = self.now();
         let machine = &mut works.machines[worker];
         machine.version += 1;
-        let mut next = machine.worker.next_end(now);
-        if machine.worker.is_cold(now) && !machine.worker.is_idle() {
+        let mut next = machine.worker.next_completion(now);
+        if machine.worker.in_slow_start(now) && !machine.worker.is_idle() {
             // It speeds up meanwhile.
             next = Some(next.map_or(now + STEP, |next| next.min(now + STEP)));
         }
@@ -262,7 +262,7 @@
 
     fn replan_store(&self, works: &mut Works) {
         works.store_version += 1;
-        if let Some(next) = works.store.next_end() {
+        if let Some(next) = works.store.next_completion() {
             works.due.push(Reverse((next, Due::Store(works.store_version))));
             self.0.changed.notify_one();
         }
@@ -270,7 +270,7 @@
 
     fn step(&self, works: &mut Works, worker: usize) {
         works.machines[worker].worker.advance(self.now());
-        for job in works.machines[worker].worker.take_done() {
+        for job in works.machines[worker].worker.take_completed() {
             if let Some(attempt) = works.attempts.remove(&job.attempt) {
                 self.0.watch.sees(Seen::Done { id: attempt.id, worker });
                 self.say(&attempt, "done", true);
@@ -282,9 +282,9 @@
     fn begin(&self, works: &mut Works, worker: usize) {
         let now = self.now();
         while let Some((job, begins)) = works.machines[worker].worker.start_next() {
-            if begins == Begins::Fetches {
+            if begins == StartPhase::Fetching {
                 works.store.advance(now);
-                works.store.begin((worker, job.attempt), self.0.s.span("store.fetch"));
+                works.store.start_fetch((worker, job.attempt), self.0.s.span("store.fetch"));
                 self.replan_store(works);
             }
             if let Some(attempt) = works.attempts.get(&job.attempt) {
@@ -298,9 +298,9 @@
     fn step_store(&self, works: &mut Works) {
         let now = self.now();
         works.store.advance(now);
-        for (worker, attempt) in works.store.take_done() {
+        for (worker, attempt) in works.store.take_completed() {
             works.machines[worker].worker.advance(now);
-            works.machines[worker].worker.fetched(attempt);
+            works.machines[worker].worker.archive_fetched(attempt);
             self.replan(works, worker);
         }
         self.replan_store(works);
@@ -321,7 +321,7 @@
         let works = &mut *works;
         let now = self.now();
         self.0.watch.sees(Seen::Reached { id, worker, left_ms });
-        if works.machines[worker].worker.is_cold(now) && self.falls(works, worker, id) {
+        if works.machines[worker].worker.in_slow_start(now) && self.falls(works, worker, id) {
             return Taken::Broke;
         }
         let attempt = works.next;
@@ -330,7 +330,7 @@
         let machine = &mut works.machines[worker];
         machine.worker.advance(now);
         let hands_back = machine.draining && self.0.s.on("worker.hands-back");
-        if hands_back || !machine.worker.take(job) {
+        if hands_back || !machine.worker.enqueue(job) {
             self.0.watch.sees(Seen::Away { id, worker });
             return Taken::Away;
         }
@@ -345,11 +345,11 @@
         let now = self.now();
         let machine = &works.machines[worker];
         let told = self.0.registry.told_start(JobId(id).dispatcher(), worker) == machine.worker.started;
-        let capacity = machine.worker.nominal(now);
-        if !works.checker.loads(now, worker, self.0.mean_work, told, capacity) {
+        let capacity = machine.worker.nominal_capacity(now);
+        if !works.checker.work_arrived(now, worker, self.0.mean_work, told, capacity) {
             return false;
         }
-        let blamed = works.checker.broken(Rule::GentleStart);
+        let blamed = works.checker.violations(Rule::GentleStart);
         let told = blamed > works.falls_blamed;
         works.falls_blamed = blamed;
         self.0.watch.sees(Seen::Fell { worker, told });
@@ -366,10 +366,10 @@
         let (worker, now) = (*worker, self.now());
         works.machines[worker].worker.advance(now);
         let running = self.0.s.on("worker.cancels-running");
-        if works.machines[worker].worker.drop_job(attempt, running) {
+        if works.machines[worker].worker.remove_job(attempt, running) {
             works.attempts.remove(&attempt);
             works.store.advance(now);
-            works.store.forget(worker, Some(attempt));
+            works.store.cancel_fetches(worker, Some(attempt));
             self.replan_store(works);
             self.begin(works, worker);
         }
@@ -380,14 +380,14 @@
         let now = self.now();
         let machine = &mut works.machines[worker];
         machine.worker.advance(now);
-        let lost = machine.worker.die();
+        let lost = machine.worker.terminate();
         machine.draining = false;
         machine.connections = 0;
         machine.epoch += 1;
         machine.reports.clear();
         machine.state.send_replace(if silent { State::Silent } else { State::Down });
         works.store.advance(now);
-        works.store.forget(worker, None);
+        works.store.cancel_fetches(worker, None);
         for job in lost {
             // Its answer is neither ended nor gone on with: its connection says what became of it.
             works.buried.extend(works.attempts.remove(&job.attempt));
@@ -404,8 +404,8 @@
         if machine.is_up() && !machine.worker.paused {
             machine.worker.advance(now);
             let mut off = || 1.0 + noise * (2.0 * machine.rng.random::<f64>() - 1.0);
-            let free = (machine.worker.free() * off()).max(0.0);
-            let util = (machine.worker.util() * off()).clamp(0.0, 1.0);
+            let free = (machine.worker.free_slots() * off()).max(0.0);
+            let util = (machine.worker.utilization() * off()).clamp(0.0, 1.0);
             let report = json!({"x0": free, "util": util}).to_string();
             machine.reports.push_back((now + late, report));
         }
@@ -418,7 +418,7 @@
         works.probes += 1;
         let machine = &mut works.machines[worker];
         machine.worker.advance(now);
-        machine.worker.burden(self.0.s.get("probe.work") / 1000.0);
+        machine.worker.add_overhead(self.0.s.get("probe.work") / 1000.0);
         while machine.reports.len() > 1 && machine.reports[1].0 <= now {
             machine.reports.pop_front();
         }
@@ -464,7 +464,7 @@
             machine.epoch += 1;
             let epoch = machine.epoch;
             machine.state.send_replace(State::Up(epoch));
-            works.checker.restarts(*worker);
+            works.checker.worker_restarted(*worker);
             works.buried.retain(|attempt| attempt.worker != *worker);
             self.0.registry.notices(self.0.s.span("discovery.notices"), *worker, View::Active(Some(now)));
         }
@@ -483,7 +483,7 @@
         self.0.registry.notices(self.0.s.span("discovery.notices"), worker, View::Draining);
         if self.0.s.on("worker.hands-back") {
             works.machines[worker].worker.advance(now);
-            for job in works.machines[worker].worker.hand_back() {
+            for job in works.machines[worker].worker.take_waiting() {
                 if let Some(attempt) = works.attempts.remove(&job.attempt) {
                     self.0.watch.sees(Seen::Away { id: attempt.id, worker });
                     self.say(&attempt, "returned", false);
@@ -525,7 +525,7 @@
 
     /// Seconds of a core that each spent on jobs.
     pub fn worked(&self) -> Vec<f64> {
-        self.works().machines.iter().map(|machine| machine.worker.worked).collect()
+        self.works().machines.iter().map(|machine| machine.worker.core_seconds).collect()
     }
 
     /// Connections that were opened to them.
@@ -540,7 +540,7 @@
 
     /// Archives that they fetched.
     pub fn fetches(&self) -> u64 {
-        self.works().store.begun
+        self.works().store.fetches_started
     }
 
     /// Log workers that take work at present.
@@ -606,7 +606,7 @@
             }
             machine.connections += 1;
             machine.worker.advance(now);
-            machine.worker.burden(self.0.s.get("connection.opening") / 1000.0);
+            machine.worker.add_overhead(self.0.s.get("connection.opening") / 1000.0);
             works.openings += 1;
             self.replan(&mut works, worker);
         }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use rookspoke_decisions::Span;
 use rookspoke_emulator::check::RULES;
-use rookspoke_emulator::model::{arrivals, hit, is_costly, Arrival};
+use rookspoke_emulator::model::{draw_affected, draw_arrivals, is_costly, Arrival};
 use rookspoke_emulator::report::{spread, ClassReport, Report, Score};
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::{Incident, Scenario, Trouble};
@@ -338,10 +338,10 @@
     /// What clients will send: the emulator's own draw, dear jobs included.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let (s, seed) = (&self.scenario, self.options.seed);
-        let mut all = arrivals(s, seed, &mut stream(seed, Stream::Clients, 0));
+        let mut all = draw_arrivals(s, seed, &mut stream(seed, Stream::Clients, 0));
         for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
             for (number, arrival) in all.iter_mut().enumerate() {
-                if is_costly(seed, number, arrival.asked, incident) {
+                if is_costly(seed, number, arrival.intended_at, incident) {
                     arrival.work *= incident.size;
                 }
             }
@@ -387,7 +387,7 @@
         let of_dispatchers =
             matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
         let of = if of_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
-        let all = hit(self.options.seed, number, part, of);
+        let all = draw_affected(self.options.seed, number, part, of);
         self.says(format!("incident {number}, {trouble:?}, begins"));
         let lasts = lasting(length);
         match trouble {
@@ -415,19 +415,19 @@
                 while turns.join_next().await.is_some() {}
             }
             Trouble::Slow => {
-                self.plant.change(&all, |worker| worker.slow *= size.max(1e-3));
+                self.plant.change(&all, |worker| worker.slowdown *= size.max(1e-3));
                 lasts.await;
-                self.plant.change(&all, |worker| worker.slow /= size.max(1e-3));
+                self.plant.change(&all, |worker| worker.slowdown /= size.max(1e-3));
             }
             Trouble::Neighbour => {
                 let end = self.watch.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
                 while self.watch.clock().now() < end {
-                    self.plant.change(&all, |worker| worker.taken = taken);
+                    self.plant.change(&all, |worker| worker.cpu_steal = taken);
                     taken = if taken > 0.0 { 0.0 } else { size.clamp(0.0, 0.99) };
                     lasting(Span(1_000_000)).await;
                 }
-                self.plant.change(&all, |worker| worker.taken = 0.0);
+                self.plant.change(&all, |worker| worker.cpu_steal = 0.0);
             }
             Trouble::Pause => {
                 self.plant.change(&all, |worker| worker.paused = true);
--- a/crates/rig/src/ways.rs
+++ b/crates/rig/src/ways.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rookspoke_decisions::Span;
-use rookspoke_emulator::model::hit;
+use rookspoke_emulator::model::draw_affected;
 use rookspoke_emulator::scenario::{Disturbance, Faults, Party, Scenario, Trouble};
 
 /// A way between two parties. Dispatchers that every disturbance treats alike are one group, and share their links
@@ -62,7 +62,7 @@
                     _ => workers,
                 };
                 let everybody = members(one.to, of, zones);
-                let drawn = hit(seed, DRAWS + number, one.part, everybody.len());
+                let drawn = draw_affected(seed, DRAWS + number, one.part, everybody.len());
                 drawn.into_iter().map(|at| everybody[at]).collect()
             })
             .collect();
