--- a/crates/emulator/src/model/worker.rs
+++ b/crates/emulator/src/model/worker.rs
@@ -1,101 +1,103 @@
-//! A log worker: slots, a queue, cores that are shared, warming up, archives that it keeps. No events, no network.
+//! Model of a log worker: execution slots, a bounded queue, cores shared by running jobs, slow start and an LRU
+//! cache of archives. It holds no events and no network; the caller advances it to a time.
 
 use std::collections::VecDeque;
 
 use rookspoke_decisions::{Span, Time};
 
-/// What a log worker is like.
+/// Fixed properties of a log worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerSpec {
-    /// Cores.
+    /// Number of cores; may be fractional.
     pub cores: f64,
-    /// Slots.
+    /// Slots that running jobs can occupy in total.
     pub slots: f64,
-    /// Jobs that wait at most.
+    /// Maximum number of queued jobs.
     pub queue: usize,
-    /// Which waiting job starts.
+    /// How the next queued job is selected.
     pub order: QueueOrder,
-    /// Speed of a core, against a standard one.
+    /// Speed of a core relative to a reference core, which has 1.
     pub speed: f64,
-    /// Speed lost for each slot in use beyond the cores.
+    /// Fraction of the speed lost for each slot in use beyond the number of cores.
     pub contention: f64,
-    /// The part of its speed that it starts with.
+    /// Fraction of full speed right after a process start.
     pub initial_capacity: f64,
-    /// How long it takes to become warm.
+    /// Duration of slow start, over which the speed grows linearly to the full one.
     pub ramp: Span,
-    /// Archives that it keeps.
+    /// Maximum number of cached archives; the least recently used one is evicted.
     pub archives: usize,
 }
 
-/// Which waiting job starts.
+/// Selects the next queued job to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// The first, once it fits.
+    /// The head of the queue; the others wait until it fits into the free slots.
     Fifo,
-    /// The first that fits.
+    /// The earliest job that fits into the free slots.
     Backfill,
-    /// The worthiest that fits.
+    /// The job of the highest worth that fits; the earliest among equals.
     Priority,
 }
 
-/// A job as a log worker sees it.
+/// A job as the log worker receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// The attempt that brought it.
+    /// Index of the call attempt that delivered it.
     pub attempt: usize,
-    /// Slots that it takes.
+    /// Slots that it occupies while running.
     pub slots: f64,
     /// Running time at speed 1, in seconds.
     pub work: f64,
-    /// The archive that it needs.
+    /// Key of the archive that it needs.
     pub key: u64,
-    /// What it is worth.
+    /// Value of the request, used by [`QueueOrder::Priority`].
     pub worth: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Running {
     job: Job,
-    /// Running time that is left, in seconds at speed 1.
-    left: f64,
+    /// Remaining running time at speed 1, in seconds.
+    remaining: f64,
+    /// Occupies its slots but makes no progress until its archive arrives.
     fetching: bool,
 }
 
-/// What a job that starts does first.
+/// The first phase of a job that was just started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartPhase {
-    /// It runs.
+    /// The archive is cached, so the job runs at once.
     Running,
-    /// It fetches its archive.
+    /// The archive has to be fetched before the job runs.
     Fetching,
 }
 
-/// A log worker's process and machine.
+/// State of a log worker: its process and the machine that it runs on.
 #[derive(Clone, Debug)]
 pub struct Worker {
     spec: WorkerSpec,
-    /// When the process last started; none means long ago.
+    /// Last start of the process; `None` if it was long enough ago for slow start to be over.
     pub started: Option<Time>,
-    /// How many times slower it is at present.
+    /// Divisor of the speed; 1 when the machine is healthy.
     pub slowdown: f64,
-    /// The part of the machine that another program takes.
+    /// Fraction of the machine's CPU time used by another program.
     pub cpu_steal: f64,
-    /// It stands still.
+    /// The process is suspended: no job runs or starts.
     pub paused: bool,
     waiting: VecDeque<Job>,
     running: Vec<Running>,
-    used: f64,
-    /// Archives, the one used last at the end.
+    slots_in_use: f64,
+    /// Keys of cached archives, least recently used first.
     archives: Vec<u64>,
-    /// Work besides jobs that is still to be done: seconds of a core.
+    /// Outstanding work other than jobs (probes, new connections), in core-seconds. It runs before any job.
     overhead: f64,
     updated_at: Time,
-    /// Seconds of a core spent on jobs.
+    /// Core-seconds spent on jobs so far.
     pub core_seconds: f64,
 }
 
 impl Worker {
-    /// One that has been warm for long.
+    /// Creates an idle log worker that is past slow start.
     pub fn new(spec: WorkerSpec) -> Self {
         Worker {
             spec,
@@ -105,7 +107,7 @@
             paused: false,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            used: 0.0,
+            slots_in_use: 0.0,
             archives: Vec::new(),
             overhead: 0.0,
             updated_at: Time(0),
@@ -113,30 +115,30 @@
         }
     }
 
-    /// The part of its speed that it has warmed up to.
+    /// Fraction of full speed that slow start allows now: from the initial capacity linearly to 1.
     pub fn ramp_factor(&self, now: Time) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let part = (now - started).secs() / self.spec.ramp.secs().max(1e-9);
-        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * part.clamp(0.0, 1.0)
+        let elapsed = (now - started).secs() / self.spec.ramp.secs().max(1e-9);
+        self.spec.initial_capacity + (1.0 - self.spec.initial_capacity) * elapsed.clamp(0.0, 1.0)
     }
 
-    /// Whether it is still warming up.
+    /// Whether the process started less than the ramp time ago.
     pub fn in_slow_start(&self, now: Time) -> bool {
         self.started.is_some_and(|started| now - started < self.spec.ramp)
     }
 
-    /// Work that it can do in a second at present: seconds of a core.
+    /// Work that it completes in a second at present, in core-seconds.
     pub fn capacity(&self, now: Time) -> f64 {
         self.spec.cores.min(self.spec.slots) * self.core_speed(now)
     }
 
-    /// Work that it could do in a second with nothing in its way: as warm as it is, but neither paused nor slowed
-    /// down. The fall-over rule goes by this.
+    /// Work that it would complete in a second without a pause, slowdown or CPU steal, in core-seconds. Slow start
+    /// still applies. The overload rule is defined by this capacity.
     pub fn nominal_capacity(&self, now: Time) -> f64 {
         self.spec.cores.min(self.spec.slots) * self.spec.speed * self.ramp_factor(now)
     }
 
-    /// Speed of one core at present.
+    /// Present speed of one core, with slow start and faults applied.
     fn core_speed(&self, now: Time) -> f64 {
         match self.paused {
             true => 0.0,
@@ -144,49 +146,54 @@
         }
     }
 
-    /// How fast each running job goes: cores are shared out evenly over slots that are not fetching.
+    /// Present speed of each running job. Cores are shared evenly among the occupied slots, except those of jobs that
+    /// wait for an archive; contention counts all of them and costs 90 % of the speed at most.
     fn job_speed(&self, now: Time) -> f64 {
         let busy: f64 = self.running.iter().filter(|r| !r.fetching).map(|r| r.job.slots).sum();
         let share = if busy > self.spec.cores { self.spec.cores / busy } else { 1.0 };
-        let crowded = (1.0 - self.spec.contention * (self.used - self.spec.cores).max(0.0)).max(0.1);
-        self.core_speed(now) * share * crowded
+        let contended =
+            (1.0 - self.spec.contention * (self.slots_in_use - self.spec.cores).max(0.0)).max(0.1);
+        self.core_speed(now) * share * contended
     }
 
-    /// Brings it up to the present. The rate is taken as it was at the last step: while it is cold, steps have to
-    /// be short.
+    /// Advances all jobs to `now`. The speed is that of the previous update, so steps have to be short while the
+    /// worker is in slow start.
     pub fn advance(&mut self, now: Time) {
-        let mut passed = (now - self.updated_at).secs();
-        let rate = self.job_speed(self.updated_at);
-        let can = self.spec.cores * self.core_speed(self.updated_at);
-        if self.overhead > 0.0 && can > 0.0 {
-            let paid = self.overhead.min(can * passed);
-            self.overhead -= paid;
-            passed -= paid / can;
+        let mut elapsed = (now - self.updated_at).secs();
+        let speed = self.job_speed(self.updated_at);
+        let core_rate = self.spec.cores * self.core_speed(self.updated_at);
+        if self.overhead > 0.0 && core_rate > 0.0 {
+            let completed = self.overhead.min(core_rate * elapsed);
+            self.overhead -= completed;
+            elapsed -= completed / core_rate;
         }
         self.updated_at = now;
         for running in self.running.iter_mut().filter(|r| !r.fetching) {
-            let done = (rate * passed).min(running.left);
-            running.left -= done;
+            let done = (speed * elapsed).min(running.remaining);
+            running.remaining -= done;
             self.core_seconds += done * running.job.slots;
         }
     }
 
-    /// When the next job ends, as things stand.
+    /// Time at which the next job completes if the speed stays as it is.
     pub fn next_completion(&self, now: Time) -> Option<Time> {
-        let rate = self.job_speed(now);
-        let least = self.running.iter().filter(|r| !r.fetching).map(|r| r.left).fold(f64::INFINITY, f64::min);
-        if rate <= 0.0 || !least.is_finite() {
+        let speed = self.job_speed(now);
+        let shortest =
+            self.running.iter().filter(|r| !r.fetching).map(|r| r.remaining).fold(f64::INFINITY, f64::min);
+        if speed <= 0.0 || !shortest.is_finite() {
             return None;
         }
         let overhead = self.overhead / (self.spec.cores * self.core_speed(now)).max(1e-9);
-        Some(now + Span(((least / rate + overhead) * 1e6).ceil() as i64))
+        Some(now + Span(((shortest / speed + overhead) * 1e6).ceil() as i64))
     }
 
-    /// Takes a job in; false where it is turned away unseen.
+    /// Queues a job. Returns false if the job is rejected: it needs more slots than the worker has, or the queue is
+    /// full. With a queue of length 0, a job that fits into the free slots is accepted.
     pub fn enqueue(&mut self, job: Job) -> bool {
         let never_fits = job.slots > self.spec.slots;
-        let room = self.waiting.len() < self.spec.queue || (self.waiting.is_empty() && self.fits(&job));
-        if never_fits || !room {
+        let has_capacity =
+            self.waiting.len() < self.spec.queue || (self.waiting.is_empty() && self.fits(&job));
+        if never_fits || !has_capacity {
             return false;
         }
         self.waiting.push_back(job);
@@ -194,40 +201,41 @@
     }
 
     fn fits(&self, job: &Job) -> bool {
-        self.used + job.slots <= self.spec.slots
+        self.slots_in_use + job.slots <= self.spec.slots
     }
 
-    /// Starts the next waiting job, if one may start.
+    /// Starts the next queued job that the queue order and the free slots admit.
     pub fn start_next(&mut self) -> Option<(Job, StartPhase)> {
         if self.paused {
             return None;
         }
         let fits = |job: &Job| self.fits(job);
-        let place = match self.spec.order {
+        let index = match self.spec.order {
             QueueOrder::Fifo => self.waiting.front().filter(|job| fits(job)).map(|_| 0),
             QueueOrder::Backfill => self.waiting.iter().position(fits),
             QueueOrder::Priority => {
                 let fitting = self.waiting.iter().enumerate().filter(|(_, job)| fits(job));
-                // The first of the worthiest.
+                // The earliest of those with the highest worth.
                 fitting.min_by(|a, b| b.1.worth.total_cmp(&a.1.worth).then(a.0.cmp(&b.0))).map(|best| best.0)
             }
         };
-        let job = self.waiting.remove(place?)?;
+        let job = self.waiting.remove(index?)?;
         let fetching = !self.use_archive(job.key);
-        self.used += job.slots;
-        self.running.push(Running { job, left: job.work, fetching });
+        self.slots_in_use += job.slots;
+        self.running.push(Running { job, remaining: job.work, fetching });
         Some((job, if fetching { StartPhase::Fetching } else { StartPhase::Running }))
     }
 
-    /// Whether the archive is here; if so, it is the one used last from now on.
+    /// Marks an archive as most recently used. Returns false if it is not cached.
     fn use_archive(&mut self, key: u64) -> bool {
-        let Some(at) = self.archives.iter().position(|kept| *kept == key) else { return false };
-        self.archives.remove(at);
+        let Some(index) = self.archives.iter().position(|cached| *cached == key) else { return false };
+        self.archives.remove(index);
         self.archives.push(key);
         true
     }
 
-    /// An archive has come for a job, which runs from now on.
+    /// Completes the archive fetch of an attempt's job, which runs from now on. The least recently used archive is
+    /// evicted if the cache is full.
     pub fn archive_fetched(&mut self, attempt: usize) {
         let Some(running) = self.running.iter_mut().find(|r| r.job.attempt == attempt) else { return };
         running.fetching = false;
@@ -240,79 +248,80 @@
         }
     }
 
-    /// Jobs that are done.
+    /// Removes and returns the completed jobs.
     pub fn take_completed(&mut self) -> Vec<Job> {
-        let (done, left): (Vec<Running>, Vec<Running>) =
-            self.running.drain(..).partition(|r| !r.fetching && r.left <= 1e-9);
-        self.running = left;
-        self.used -= done.iter().map(|r| r.job.slots).sum::<f64>();
+        let (done, unfinished): (Vec<Running>, Vec<Running>) =
+            self.running.drain(..).partition(|r| !r.fetching && r.remaining <= 1e-9);
+        self.running = unfinished;
+        self.slots_in_use -= done.iter().map(|r| r.job.slots).sum::<f64>();
         done.into_iter().map(|r| r.job).collect()
     }
 
-    /// Takes a job out, wherever it is; a running one only where `running` says so. Whether it was there.
+    /// Removes the job of an attempt: a queued one always, a running one only if `running` is set. Returns whether a
+    /// job was removed.
     pub fn remove_job(&mut self, attempt: usize, running: bool) -> bool {
-        if let Some(at) = self.waiting.iter().position(|job| job.attempt == attempt) {
-            self.waiting.remove(at);
+        if let Some(index) = self.waiting.iter().position(|job| job.attempt == attempt) {
+            self.waiting.remove(index);
             return true;
         }
-        let at = self.running.iter().position(|r| r.job.attempt == attempt && running);
-        let Some(at) = at else { return false };
-        self.used -= self.running.remove(at).job.slots;
+        let index = self.running.iter().position(|r| r.job.attempt == attempt && running);
+        let Some(index) = index else { return false };
+        self.slots_in_use -= self.running.remove(index).job.slots;
         true
     }
 
-    /// Everything that waits, which leaves.
+    /// Empties the queue and returns its jobs, which have not started.
     pub fn take_waiting(&mut self) -> Vec<Job> {
         self.waiting.drain(..).collect()
     }
 
-    /// The process is gone, with all that it held.
+    /// Ends the process: its archives and overhead are dropped. Returns the queued and running jobs, which are lost.
     pub fn terminate(&mut self) -> Vec<Job> {
         let all = self.waiting.drain(..).chain(self.running.drain(..).map(|r| r.job)).collect();
-        (self.used, self.overhead) = (0.0, 0.0);
+        (self.slots_in_use, self.overhead) = (0.0, 0.0);
         self.archives.clear();
         all
     }
 
-    /// Work besides jobs: a probe, a new connection. In seconds of a core.
+    /// Adds work other than a job, such as a probe or a new connection, in core-seconds.
     pub fn add_overhead(&mut self, work: f64) {
         self.overhead += work;
     }
 
-    /// Slots that are free.
+    /// Slots that no running job occupies.
     pub fn free_slots(&self) -> f64 {
-        self.spec.slots - self.used
+        self.spec.slots - self.slots_in_use
     }
 
-    /// The part of its cores in use.
+    /// Fraction of the cores in use, from 0 to 1.
     pub fn utilization(&self) -> f64 {
         let busy: f64 = self.running.iter().filter(|r| !r.fetching).map(|r| r.job.slots).sum();
         (busy / self.spec.cores).min(1.0)
     }
 
-    /// Jobs that wait.
+    /// Number of queued jobs.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Work that it holds: seconds until it would be idle, were its cores always full.
+    /// Queued and remaining work, as the seconds until idle if all cores were always busy.
     pub fn backlog(&self, now: Time) -> f64 {
         let waiting: f64 = self.waiting.iter().map(|job| job.work * job.slots).sum();
-        let running: f64 = self.running.iter().map(|r| r.left * r.job.slots).sum();
+        let running: f64 = self.running.iter().map(|r| r.remaining * r.job.slots).sum();
         (waiting + running) / self.capacity(now).max(1e-3)
     }
 
-    /// The archives that it keeps.
+    /// Keys of the cached archives, least recently used first.
     pub fn archives(&self) -> &[u64] {
         &self.archives
     }
 
-    /// Whether the archive is here.
+    /// Whether the archive of this key is cached.
     pub fn has_archive(&self, key: u64) -> bool {
         self.archives.contains(&key)
     }
 
-    /// Whether it holds nothing.
+    /// Whether no job is queued or running.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
@@ -342,7 +351,7 @@
         Time::from_ms(secs * 1000.0)
     }
 
-    /// Takes and starts jobs, with their archives at hand.
+    /// A log worker that has queued the jobs and started those that fit, with their archives already fetched.
     fn running(spec: WorkerSpec, jobs: &[Job]) -> Worker {
         let mut worker = Worker::new(spec);
         for job in jobs {
@@ -355,7 +364,7 @@
     }
 
     #[test]
-    fn jobs_beyond_the_cores_share_them() {
+    fn jobs_that_need_more_than_the_cores_share_them() {
         let alone = running(SPEC, &[job(0, 1.0, 1), job(1, 1.0, 1)]);
         assert_eq!(alone.next_completion(at(0.0)), Some(at(1.0)));
         let shared = running(SPEC, &[job(0, 2.0, 1), job(1, 2.0, 1)]);
@@ -363,7 +372,7 @@
     }
 
     #[test]
-    fn the_first_waits_until_it_fits_and_backfill_passes_it() {
+    fn fifo_blocks_on_the_head_of_the_queue_and_backfill_overtakes_it() {
         let jobs = [job(0, 3.0, 1), job(1, 2.0, 1), job(2, 1.0, 1)];
         let mut fifo = running(SPEC, &jobs);
         assert_eq!((fifo.queued(), fifo.free_slots()), (2, 1.0));
@@ -374,7 +383,7 @@
     }
 
     #[test]
-    fn priority_starts_the_worthiest_that_fits() {
+    fn priority_starts_the_job_of_the_highest_worth_that_fits() {
         let mut worker = running(WorkerSpec { order: QueueOrder::Priority, ..SPEC }, &[job(0, 4.0, 1)]);
         for n in 1..4 {
             assert!(worker.enqueue(job(n, 2.0, 1)));
@@ -386,7 +395,7 @@
     }
 
     #[test]
-    fn it_warms_up_evenly_and_a_pause_stops_it() {
+    fn slow_start_ramps_linearly_and_a_pause_stops_the_worker() {
         let mut worker = Worker::new(SPEC);
         worker.started = Some(at(0.0));
         assert_eq!(worker.ramp_factor(at(0.0)), 0.25);
@@ -399,10 +408,10 @@
     }
 
     #[test]
-    fn the_archive_unused_for_longest_goes() {
+    fn the_least_recently_used_archive_is_evicted() {
         let mut worker = running(SPEC, &[job(0, 1.0, 1), job(1, 1.0, 2), job(2, 1.0, 1)]);
         worker.enqueue(job(3, 1.0, 3));
-        let (_, begins) = worker.start_next().expect("it starts");
+        let (_, begins) = worker.start_next().expect("a slot is free");
         assert_eq!(begins, StartPhase::Fetching);
         worker.archive_fetched(3);
         assert_eq!(
@@ -412,7 +421,7 @@
     }
 
     #[test]
-    fn other_work_holds_jobs_up() {
+    fn overhead_delays_jobs() {
         let mut worker = running(SPEC, &[job(0, 1.0, 1)]);
         worker.add_overhead(1.0);
         assert_eq!(worker.next_completion(at(0.0)), Some(at(1.5)));
@@ -421,23 +430,23 @@
     }
 
     proptest::proptest! {
-        /// Whatever comes and goes, slots are neither made nor lost.
+        /// Checks the slot accounting over arbitrary sequences of calls.
         #[test]
-        fn slots_in_use_are_those_of_running_jobs(steps in proptest::collection::vec((0u8..5, 0usize..12), 1..80)) {
+        fn slots_in_use_equal_those_of_running_jobs(steps in proptest::collection::vec((0u8..5, 0usize..12), 1..80)) {
             let mut worker = Worker::new(SPEC);
-            for (n, (what, which)) in steps.into_iter().enumerate() {
+            for (n, (operation, attempt)) in steps.into_iter().enumerate() {
                 let now = at(n as f64 * 0.3);
                 worker.advance(now);
-                match what {
-                    0 => drop(worker.enqueue(job(which, (1 + which % 4) as f64, which as u64 % 3))),
+                match operation {
+                    0 => drop(worker.enqueue(job(attempt, (1 + attempt % 4) as f64, attempt as u64 % 3))),
                     1 => drop(worker.start_next()),
-                    2 => worker.archive_fetched(which),
-                    3 => drop(worker.remove_job(which, true)),
+                    2 => worker.archive_fetched(attempt),
+                    3 => drop(worker.remove_job(attempt, true)),
                     _ => drop(worker.take_completed()),
                 }
                 let used: f64 = worker.running.iter().map(|r| r.job.slots).sum();
-                proptest::prop_assert_eq!(used, worker.used);
-                proptest::prop_assert!(worker.used <= SPEC.slots && worker.waiting.len() <= SPEC.queue);
+                proptest::prop_assert_eq!(used, worker.slots_in_use);
+                proptest::prop_assert!(worker.slots_in_use <= SPEC.slots && worker.waiting.len() <= SPEC.queue);
             }
         }
     }
--- a/crates/emulator/src/rng.rs
+++ b/crates/emulator/src/rng.rs
@@ -1,36 +1,36 @@
-//! Random streams. Each entity draws from its own, so that one more log worker, or one more draw of it, leaves the
-//! draws of all others as they were.
+//! Seeded random streams. Each entity draws from a stream of its own, so that adding a log worker, or a draw of one
+//! entity, doesn't change the draws of the others.
 
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What draws.
+/// The purpose of a stream. The discriminant is part of the seed, so the order of the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Stream {
-    /// Arrivals and their sizes.
+    /// Arrival times of requests, their classes, sizes and keys.
     Clients,
-    /// What a client does after a refusal.
+    /// Backoff of clients after a refusal or failure.
     Retry,
-    /// A log worker's speed.
+    /// Speed of a log worker's machine.
     Speed,
-    /// The noise of a log worker's reports.
+    /// Noise and phase of a log worker's load reports.
     Report,
-    /// Delays on the way.
+    /// Jitter of network delays, and connection resets.
     Network,
-    /// Discovery's lateness.
+    /// Delay with which discovery announces changes.
     Discovery,
-    /// Whom an incident hits.
+    /// Targets of an incident, and the requests that it makes costly.
     Incident,
-    /// A policy's own draws.
+    /// Seeds and draws of a policy.
     Policy,
 }
 
-/// The stream of one entity.
-pub fn stream(seed: u64, of: Stream, number: u64) -> SmallRng {
+/// Returns the stream of entity `number` for a purpose. The seed, the purpose and the number determine its draws.
+pub fn stream(seed: u64, purpose: Stream, number: u64) -> SmallRng {
     let mut bytes = [0; 9];
-    bytes[0] = of as u8;
+    bytes[0] = purpose as u8;
     bytes[1..].copy_from_slice(&number.to_le_bytes());
     SmallRng::seed_from_u64(xxh3_64_with_seed(&bytes, seed))
 }
@@ -41,8 +41,8 @@
     use rand::Rng;
 
     #[test]
-    fn streams_differ_by_seed_kind_and_number_and_stay_the_same() {
-        let draw = |seed, of, number| stream(seed, of, number).random::<u64>();
+    fn streams_differ_by_seed_purpose_and_number_and_are_reproducible() {
+        let draw = |seed, purpose, number| stream(seed, purpose, number).random::<u64>();
         let all = [
             draw(1, Stream::Clients, 0),
             draw(2, Stream::Clients, 0),
