--- a/crates/emulator/src/model/fleet.rs
+++ b/crates/emulator/src/model/fleet.rs
@@ -1,4 +1,4 @@
-//! What the model holds of each log worker's machine and of each dispatcher's place.
+//! Per-machine state of the model: one record for each log worker and one for each dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,22 +7,22 @@
 
 use super::Worker;
 
-/// A log worker's machine: its process, and what others see of it.
+/// A log worker's machine: its process, its connections and its published load reports.
 pub(super) struct Machine {
     pub worker: Worker,
     pub zone: usize,
-    /// The process runs.
+    /// The process is running.
     pub up: bool,
-    /// Nothing is refused and nothing answered.
+    /// The machine drops all traffic: connections are neither refused nor answered.
     pub silent: bool,
     pub draining: bool,
-    /// Counts the processes.
+    /// Incremented at each start and end of the process, so that events of an earlier process are recognised.
     pub epoch: u64,
-    /// Counts plans for its next step; older ones are void.
-    pub version: u64,
-    /// Connections that are open to it.
+    /// Version of the plan for the next step; steps planned under an older version are ignored.
+    pub plan_version: u64,
+    /// Number of open connections to it.
     pub connections: usize,
-    /// Reports, and when they can be seen.
+    /// Load reports, each with the time from which a probe returns it.
     pub reports: VecDeque<(Time, LoadReport)>,
     pub rng: SmallRng,
 }
@@ -36,7 +36,7 @@
             silent: false,
             draining: false,
             epoch: 0,
-            version: 0,
+            plan_version: 0,
             connections: 0,
             reports: VecDeque::new(),
             rng,
@@ -44,42 +44,43 @@
     }
 }
 
-/// A dispatcher's place: what its host keeps for it.
-pub(super) struct Seat {
+/// State of a dispatcher's host: events that wait for the policy, timers, connections and the discovery watch.
+pub(super) struct DispatcherHost {
     pub zone: usize,
-    /// What its next batch holds.
+    /// Events of the next batch.
     pub events: VecDeque<Event>,
-    /// No batch before this.
+    /// Earliest time of the next batch.
     pub next_batch: Time,
-    /// Moments at which a batch is planned already.
-    pub wakes: BTreeSet<Time>,
+    /// Times for which a batch is already planned.
+    pub planned_batches: BTreeSet<Time>,
+    /// Timers set by the policy: time and token.
     pub timers: BTreeSet<(Time, u64)>,
     pub paused: bool,
     pub paused_until: Time,
-    /// It hears of changes of the list.
+    /// Discovery sends it changes of the list.
     pub subscribed: bool,
-    /// Counts calls to discovery; the answer to an older one is void.
-    pub call: u64,
-    /// Idle connections to each log worker: since when, and to which process.
-    pub idle: BTreeMap<usize, Vec<(Time, u64)>>,
-    /// The start of each log worker that it was told of.
-    pub told_start: BTreeMap<usize, Time>,
+    /// Number of its latest call to discovery; answers to earlier calls are ignored.
+    pub discovery_call: u64,
+    /// Idle connections to each log worker: the time of the last use and the epoch of the process.
+    pub idle_connections: BTreeMap<usize, Vec<(Time, u64)>>,
+    /// Start time of each log worker's process, as last announced to this dispatcher.
+    pub known_starts: BTreeMap<usize, Time>,
 }
 
-impl Seat {
+impl DispatcherHost {
     pub fn new(zone: usize) -> Self {
-        Seat {
+        DispatcherHost {
             zone,
             events: VecDeque::new(),
             next_batch: Time(0),
-            wakes: BTreeSet::new(),
+            planned_batches: BTreeSet::new(),
             timers: BTreeSet::new(),
             paused: false,
             paused_until: Time(0),
             subscribed: false,
-            call: 0,
-            idle: BTreeMap::new(),
-            told_start: BTreeMap::new(),
+            discovery_call: 0,
+            idle_connections: BTreeMap::new(),
+            known_starts: BTreeMap::new(),
         }
     }
 }
