--- a/crates/conf/src/compile.rs
+++ b/crates/conf/src/compile.rs
@@ -25,7 +25,7 @@
     /// A keyword; in a section that comes once, `section.keyword`.
     pub key: String,
     /// The value, as it would stand in a file.
-    pub text: String,
+    pub value: String,
     /// Who says so.
     pub origin: Origin,
 }
@@ -57,7 +57,7 @@
                 build.top(&lines);
             }
             Err(error) => {
-                build.problems.push(Problem::general(format!("{}: {error}", path.display())));
+                build.problems.push(Problem::without_span(format!("{}: {error}", path.display())));
             }
         }
     }
@@ -93,7 +93,7 @@
 impl Build {
     fn take_platform(&mut self, tree: Value, path: &str) {
         self.tree = tree;
-        for section in SECTIONS.iter().filter(|section| section.platform) {
+        for section in SECTIONS.iter().filter(|section| section.overridden_by_platform) {
             let list = self.tree.pointer(&format!("/{}", section.path)).and_then(Value::as_array);
             let items: Vec<Option<usize>> = match section.label {
                 Label::None => vec![None],
@@ -206,7 +206,7 @@
                 (None, Some(_)) => {
                     let names = SECTIONS.iter().map(|section| section.name);
                     let text = format!("found the section `{name}`, which is not known");
-                    self.problems.push(Problem::at(line.keyword.span, text).nearest(name, names));
+                    self.problems.push(Problem::at(line.keyword.span, text).suggest(name, names));
                 }
                 (None, None) => self.line(top, None, line),
             }
@@ -228,7 +228,7 @@
         };
         let seen = (section.name, label.map(|word| word.text.clone()));
         if let Some(first) = self.seen.insert(seen, line.span()) {
-            let first = self.sources.place(first);
+            let first = self.sources.location(first);
             let text = format!("`{}` comes twice; the first is at {first}", words(line));
             return self.problems.push(Problem::at(line.span(), text));
         }
@@ -255,7 +255,7 @@
             }
         };
         if self.ignored(section) {
-            let place = self.sources.place(line.span());
+            let place = self.sources.location(line.span());
             self.warnings
                 .push(format!("{place}: `{}` is ignored: the platform's JSON says this", words(line)));
         }
@@ -264,7 +264,7 @@
 
     /// The platform's JSON says these things.
     fn ignored(&self, section: &Section) -> bool {
-        self.has_platform && section.platform
+        self.has_platform && section.overridden_by_platform
     }
 
     fn line(&mut self, section: &'static Section, item: Option<usize>, line: &Line) {
@@ -276,20 +276,20 @@
             let text = format!("`{name}` is no section, expected its value and the end of the line");
             return self.problems.push(Problem::at(line.span(), text));
         }
-        let value = match keyword.kind.read(&line.keyword, &line.args) {
+        let value = match keyword.kind.parse(&line.keyword, &line.args) {
             Ok(value) => value,
             Err(problem) => return self.problems.push(problem),
         };
         let pointer = section.pointer(item, keyword.path);
         if self.ignored(section) {
             if section.name.is_empty() {
-                let place = self.sources.place(line.span());
+                let place = self.sources.location(line.span());
                 self.warnings.push(format!("{place}: `{name}` is ignored: the platform's JSON says this"));
             }
             return;
         }
         if let Some(first) = self.spans.get(&pointer) {
-            let first = self.sources.place(*first);
+            let first = self.sources.location(*first);
             let text = format!("`{name}` comes twice; the first is at {first}");
             return self.problems.push(Problem::at(line.keyword.span, text));
         }
@@ -299,7 +299,7 @@
     fn set(&mut self, pointer: &str, value: Value, span: Option<Span>) {
         put(&mut self.tree, pointer, value);
         let origin = match span {
-            Some(span) => Origin::File(self.sources.place(span)),
+            Some(span) => Origin::File(self.sources.location(span)),
             None => Origin::Default,
         };
         self.origins.insert(pointer.into(), origin);
@@ -310,28 +310,28 @@
 
     fn take_override(&mut self, over: &Override) {
         let name = format!("{} {}", over.origin, over.key);
-        let file = self.sources.add_text(&name, &over.text);
-        let span = Span { file, start: 0, end: over.text.len() };
+        let file = self.sources.add_text(&name, &over.value);
+        let span = Span { file, start: 0, end: over.value.len() };
         let (section, keyword) = over.key.split_once('.').unwrap_or(("", &over.key));
         let at_key = Word { text: keyword.into(), span };
         let known = schema::section(section).filter(|section| section.label == Label::None);
         let Some(section) = known else {
             let text = format!("found the section `{section}`, which is not known or has a name of its own");
             let names = SECTIONS.iter().filter(|s| s.label == Label::None).map(|s| s.name);
-            return self.problems.push(Problem::at(span, text).nearest(section, names));
+            return self.problems.push(Problem::at(span, text).suggest(section, names));
         };
         let Some(keyword) = section.keyword(keyword) else {
             return self.problems.push(unknown(section, &at_key));
         };
         // Several values are several words, as in a file.
         let mut problems = Vec::new();
-        let line = format!("{} {}", keyword.name, over.text);
+        let line = format!("{} {}", keyword.name, over.value);
         let args = syntax::parse(file, &line, &mut problems).pop().map_or_else(Vec::new, |line| line.args);
         let args: Vec<Word> = args.into_iter().map(|word| Word { span, ..word }).collect();
         if !problems.is_empty() {
             return self.problems.push(Problem::at(span, "cannot be read as the value of a line"));
         }
-        match keyword.kind.read(&at_key, &args) {
+        match keyword.kind.parse(&at_key, &args) {
             Ok(value) => {
                 let pointer = section.pointer(None, keyword.path);
                 put(&mut self.tree, &pointer, value);
@@ -374,15 +374,15 @@
             return;
         }
         match keyword.absent {
-            Absent::Nothing => {}
+            Absent::Unset => {}
             Absent::Default(text) => {
-                let value = keyword.kind.read(&Word::outside(keyword.name), &[Word::outside(text)]);
+                let value = keyword.kind.parse(&Word::synthetic(keyword.name), &[Word::synthetic(text)]);
                 // A test reads every default.
                 if let Ok(value) = value {
                     self.set(&pointer, value, None);
                 }
             }
-            Absent::Error => {
+            Absent::Required => {
                 let inner = match item {
                     Some(item) => format!("/{}/{item}", section.path),
                     None => format!("/{}", section.path),
@@ -495,7 +495,7 @@
         let text = format!("found `{name}`, expected one of `{keyword}`: {}", known.join(", "));
         let span = self.spans.get(pointer).copied().or(self.whole());
         let problem = Problem { message: text, span, help: None };
-        let problem = problem.nearest(name, known.iter().map(String::as_str));
+        let problem = problem.suggest(name, known.iter().map(String::as_str));
         self.problems.push(problem);
     }
 
@@ -507,7 +507,7 @@
         let more = self.problems.len().saturating_sub(MAX_PROBLEMS);
         self.problems.truncate(MAX_PROBLEMS);
         if more > 0 {
-            self.problems.push(Problem::general(format!("and {more} more")));
+            self.problems.push(Problem::without_span(format!("and {more} more")));
         }
         Err(Problems::new(self.problems, self.sources))
     }
@@ -532,7 +532,7 @@
         name => format!("in `{name}`"),
     };
     let problem = Problem::at(word.span, format!("found `{}`, which is no keyword {place}", word.text));
-    let problem = problem.nearest(&word.text, section.keywords.iter().map(|keyword| keyword.name));
+    let problem = problem.suggest(&word.text, section.keywords.iter().map(|keyword| keyword.name));
     if problem.help.is_some() {
         return problem;
     }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -19,6 +19,6 @@
 pub use compile::{compile, Input, Override};
 pub use problem::{Problem, Problems};
 pub use resolved::{Changes, Origin, Resolved, Row};
-pub use source::{read_bounded, ReadError, Sources, Span, MAX_FILE};
+pub use source::{read_bounded, ReadError, Sources, Span, MAX_FILE_BYTES};
 pub use syntax::{parse, Line, Word};
 pub use value::Kind;
--- a/crates/conf/src/problem.rs
+++ b/crates/conf/src/problem.rs
@@ -25,7 +25,7 @@
     }
 
     /// A problem without a place.
-    pub fn general(message: impl Into<String>) -> Self {
+    pub fn without_span(message: impl Into<String>) -> Self {
         Problem { message: message.into(), span: None, help: None }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// With the nearest of the words that would have been understood, if one is near.
-    pub fn nearest<'a>(self, found: &str, known: impl IntoIterator<Item = &'a str>) -> Self {
+    pub fn suggest<'a>(self, found: &str, known: impl IntoIterator<Item = &'a str>) -> Self {
         match nearest(found, known) {
             Some(word) => self.help(format!("did you mean `{word}`?")),
             None => self,
@@ -90,7 +90,7 @@
     }
 
     fn place(&self, problem: &Problem) -> String {
-        problem.span.map_or_else(String::new, |span| format!("{}: ", self.sources.place(span)))
+        problem.span.map_or_else(String::new, |span| format!("{}: ", self.sources.location(span)))
     }
 }
 
--- a/crates/conf/src/resolved.rs
+++ b/crates/conf/src/resolved.rs
@@ -7,7 +7,7 @@
 
 use crate::problem::{Problem, Problems};
 use crate::schema::{Label, Section, SECTIONS};
-use crate::source::{Place, Sources, Span};
+use crate::source::{Location, Sources, Span};
 
 /// Where a value came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// Nobody said anything.
     Default,
     /// A line of a file.
-    File(Place),
+    File(Location),
     /// The platform's JSON.
     Platform(String),
     /// A variable of the environment.
@@ -46,7 +46,7 @@
     /// Where it came from.
     pub origin: Origin,
     /// Whether a reload heeds it.
-    pub reload: bool,
+    pub reloadable: bool,
 }
 
 /// A configuration that has been read without an error.
@@ -82,9 +82,9 @@
                     key.push(keyword.name);
                     rows.push(Row {
                         key: key.join(" "),
-                        value: keyword.kind.show(value),
+                        value: keyword.kind.format(value),
                         origin: self.origins.get(&pointer).cloned().unwrap_or(Origin::Default),
-                        reload: keyword.reload,
+                        reloadable: keyword.reloadable,
                     });
                 }
             }
@@ -110,7 +110,7 @@
     /// What differs from an earlier configuration, by keyword: what a reload heeds, and what it does not.
     pub fn changes_since(&self, earlier: &Resolved) -> Changes {
         let rows = |of: &Resolved| -> BTreeMap<String, (String, bool)> {
-            of.rows().into_iter().map(|row| (row.key, (row.value, row.reload))).collect()
+            of.rows().into_iter().map(|row| (row.key, (row.value, row.reloadable))).collect()
         };
         let (new, old) = (rows(self), rows(earlier));
         let keys: BTreeSet<&String> = new.keys().chain(old.keys()).collect();
@@ -121,14 +121,14 @@
                 continue;
             }
             let live = now.or(before).is_some_and(|row| row.1);
-            let list = if live { &mut changes.live } else { &mut changes.at_restart };
+            let list = if live { &mut changes.at_reload } else { &mut changes.at_restart };
             list.push(key.clone());
         }
         changes
     }
 
     /// Takes over what a reload heeds, so that the next reload is compared with what holds.
-    pub fn take_live(&mut self, new: &Resolved) {
+    pub fn apply_reload(&mut self, new: &Resolved) {
         let list = new.tree.get("known").cloned().unwrap_or(Value::Null);
         let discovery = new.tree.get("discovery").cloned().unwrap_or(Value::Null);
         let level = new.tree.pointer("/log/level").cloned();
@@ -143,7 +143,7 @@
 
     /// An error that another reader found at a field, as a problem at the line which set it. Fields are parted
     /// by dots, as in `settings.classes.0.gain`.
-    pub fn problem(&self, field: &str, message: impl fmt::Display) -> Problems {
+    pub fn problem_at(&self, field: &str, message: impl fmt::Display) -> Problems {
         let pointer = format!("/{}", field.replace('.', "/"));
         let mut part = pointer.as_str();
         let span = loop {
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Keywords that a reload heeds.
-    pub live: Vec<String>,
+    pub at_reload: Vec<String>,
     /// Keywords that only a restart heeds.
     pub at_restart: Vec<String>,
 }
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -22,7 +22,7 @@
     /// often leads to a list.
     pub path: &'static str,
     /// Whether the platform's JSON, where there is one, says these things instead.
-    pub platform: bool,
+    pub overridden_by_platform: bool,
     /// What it is for.
     pub doc: &'static str,
     /// Its keywords.
@@ -35,9 +35,9 @@
     /// This, as it would stand in a file.
     Default(&'static str),
     /// Nothing: that is a meaning of its own, told in the text.
-    Nothing,
+    Unset,
     /// It is an error.
-    Error,
+    Required,
 }
 
 /// A keyword.
@@ -52,33 +52,33 @@
     /// Where it goes, below its section's path.
     pub path: &'static str,
     /// Whether SIGHUP heeds a change of it.
-    pub reload: bool,
+    pub reloadable: bool,
     /// What it means.
     pub doc: &'static str,
 }
 
-const fn key(
+const fn keyword(
     name: &'static str,
     kind: Kind,
     absent: Absent,
     path: &'static str,
     doc: &'static str,
 ) -> Keyword {
-    Keyword { name, kind, absent, path, reload: false, doc }
+    Keyword { name, kind, absent, path, reloadable: false, doc }
 }
 
-const fn live(keyword: Keyword) -> Keyword {
-    Keyword { reload: true, ..keyword }
+const fn reloadable(keyword: Keyword) -> Keyword {
+    Keyword { reloadable: true, ..keyword }
 }
 
-use Absent::{Default, Error, Nothing};
+use Absent::{Default, Required, Unset};
 
 const DAY: f64 = 86_400_000.0;
-const ON: Absent = Default("on");
-const PART: Kind = Kind::Number { least: 0.0, most: 1.0 };
-const POSITIVE: Kind = Kind::Number { least: 0.0, most: f64::MAX };
-const fn time(least: f64, most: f64) -> Kind {
-    Kind::Time { least, most }
+const DEFAULT_ON: Absent = Default("on");
+const FRACTION: Kind = Kind::Number { min: 0.0, max: 1.0 };
+const POSITIVE: Kind = Kind::Number { min: 0.0, max: f64::MAX };
+const fn time(min: f64, max: f64) -> Kind {
+    Kind::Time { min, max }
 }
 
 /// All sections; the first holds the lines outside of all others.
@@ -87,93 +87,93 @@
         name: "",
         label: Label::None,
         path: "",
-        platform: true,
+        overridden_by_platform: true,
         doc: "Lines outside of all sections: who this dispatcher is, and where the others are.",
         keywords: &[
-            key("name", Kind::Text, Default("rookspoke"), "name", "The dispatcher's name in logs and figures."),
-            key("listen", Kind::Address, Error, "listen", "Where clients connect. Port 0 takes a free one."),
-            live(key(
+            keyword("name", Kind::Text, Default("rookspoke"), "name", "The dispatcher's name in logs and figures."),
+            keyword("listen", Kind::Address, Required, "listen", "Where clients connect. Port 0 takes a free one."),
+            reloadable(keyword(
                 "discovery",
                 Kind::Address,
-                Nothing,
+                Unset,
                 "discovery",
                 "Where the list of log workers is asked for. Without it, the `worker` sections are the list.",
             )),
-            key(
+            keyword(
                 "console",
                 Kind::Address,
-                Nothing,
+                Unset,
                 "console",
                 "Where operators ask: ready, figures, log workers out by hand. Without it there is no such place.",
             ),
-            key(
+            keyword(
                 "state",
                 Kind::Text,
-                Nothing,
+                Unset,
                 "state",
                 "The folder of what a restart must not forget: which log workers are out by hand. Without it, none \
                  can be taken out.",
             ),
-            key(
+            keyword(
                 "accept-fd",
-                Kind::Count { least: 3, most: 1 << 20 },
-                Nothing,
+                Kind::Count { min: 3, max: 1 << 20 },
+                Unset,
                 "accept_fd",
                 "An inherited descriptor that listens for clients in the place of `listen`.",
             ),
-            key("seed", Kind::Seed, Nothing, "seed", "For random numbers. Without it, another one each start."),
-            key(
+            keyword("seed", Kind::Seed, Unset, "seed", "For random numbers. Without it, another one each start."),
+            keyword(
                 "sockets",
-                Kind::Count { least: 64, most: 1 << 20 },
+                Kind::Count { min: 64, max: 1 << 20 },
                 Default("1024"),
                 "limits/sockets",
                 "The most descriptors that the process uses: half for clients, two fifths for log workers.",
             ),
-            key("zone", Kind::Text, Default("here"), "settings/zone", "The zone that this dispatcher is in."),
-            key("zones", Kind::Texts, Nothing, "settings/localities", "All zones. Without it, just `zone`."),
-            key(
+            keyword("zone", Kind::Text, Default("here"), "settings/zone", "The zone that this dispatcher is in."),
+            keyword("zones", Kind::Texts, Unset, "settings/localities", "All zones. Without it, just `zone`."),
+            keyword(
                 "kinds",
                 Kind::Texts,
                 Default("worker"),
                 "settings/machine_types",
                 "The kinds of machine that log workers run on.",
             ),
-            key(
+            keyword(
                 "dispatchers",
-                Kind::Count { least: 1, most: 10_000 },
+                Kind::Count { min: 1, max: 10_000 },
                 Default("1"),
                 "settings/balancers",
                 "How many dispatchers send to these log workers: each keeps to its part of a cold one.",
             ),
-            key(
+            keyword(
                 "number",
-                Kind::Count { least: 0, most: 9_999 },
+                Kind::Count { min: 0, max: 9_999 },
                 Default("0"),
                 "settings/me",
                 "This dispatcher's number among them, from 0.",
             ),
-            key(
+            keyword(
                 "tick",
                 time(0.1, 1_000.0),
                 Default("4ms"),
                 "settings/quantum_ms",
                 "Events are decided on together, no more often than this.",
             ),
-            key(
+            keyword(
                 "over-share-worth",
-                PART,
+                FRACTION,
                 Default("1"),
                 "settings/over_share_worth",
                 "What a request beyond its tenant's share is worth, as a part of its class's worth.",
             ),
-            key(
+            keyword(
                 "worth-by",
                 Kind::Choice(&[("request", "request"), ("work", "work")]),
                 Default("request"),
                 "settings/worth_by",
                 "What `worth` is counted for: each request, whatever its size, or each unit of its work.",
             ),
-            key(
+            keyword(
                 "cross-zone-price",
                 POSITIVE,
                 Default("0"),
@@ -186,47 +186,47 @@
         name: "class",
         label: Label::Named("name"),
         path: "settings/classes",
-        platform: true,
-        doc: "A class of requests. There is at least one.",
+        overridden_by_platform: true,
+        doc: "A class of requests. There is at min one.",
         keywords: &[
-            key(
+            keyword(
                 "effect",
                 Kind::Choice(&[
                     ("safe", "read_like"),
                     ("once", "non_idempotent"),
                     ("keyed", "idempotency_key"),
                 ]),
-                Error,
+                Required,
                 "effect",
                 "How far a request may be repeated: at will; never once it may have run; or only where log \
                  workers discard repeats (`group`, `window`).",
             ),
-            key("aim", time(1.0, DAY), Error, "goal_time_ms", "An answer within this time has its full worth."),
-            key(
+            keyword("aim", time(1.0, DAY), Required, "goal_time_ms", "An answer within this time has its full worth."),
+            keyword(
                 "deadline",
                 time(1.0, DAY),
-                Error,
+                Required,
                 "deadline_ms",
                 "How long clients wait, where they do not say so themselves.",
             ),
-            key(
+            keyword(
                 "stretch",
-                Kind::Number { least: 0.0, most: 1000.0 },
+                Kind::Number { min: 0.0, max: 1000.0 },
                 Default("0"),
                 "aim_stretch",
                 "The aim grows by this times the request's own running time.",
             ),
-            key("worth", POSITIVE, Default("1"), "gain", "What an answer in time is worth, against other classes."),
-            key("late-worth", PART, Default("0"), "late_worth", "The part of the worth that is left after the aim."),
-            key("kind", Kind::Text, Nothing, "kind", "The only kind of machine that runs it. Without it, any."),
-            key(
+            keyword("worth", POSITIVE, Default("1"), "gain", "What an answer in time is worth, against other classes."),
+            keyword("late-worth", FRACTION, Default("0"), "late_worth", "The part of the worth that is left after the aim."),
+            keyword("kind", Kind::Text, Unset, "kind", "The only kind of machine that runs it. Without it, any."),
+            keyword(
                 "group",
                 Kind::Choice(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]),
                 Default("all"),
                 "group",
                 "With effect `keyed`: which log workers discard a repeat.",
             ),
-            key(
+            keyword(
                 "window",
                 time(0.0, DAY),
                 Default("5s"),
@@ -239,12 +239,12 @@
         name: "tenant",
         label: Label::Named("name"),
         path: "settings/projects",
-        platform: true,
+        overridden_by_platform: true,
         doc: "A tenant, and its share of the service.",
-        keywords: &[key(
+        keywords: &[keyword(
             "allowance",
             Kind::Rate,
-            Error,
+            Required,
             "allowance_per_s",
             "Requests within its share, over all dispatchers.",
         )],
@@ -253,22 +253,22 @@
         name: "worker",
         label: Label::Named("uid"),
         path: "known/targets",
-        platform: true,
+        overridden_by_platform: true,
         doc: "A log worker of a fixed list, for installations without discovery. With `discovery`, the list \
               that holds until discovery has answered.",
         keywords: &[
-            live(key("address", Kind::Address, Error, "endpoint", "Where it listens.")),
-            live(key("zone", Kind::Text, Nothing, "az", "The zone that it is in. Without it, the dispatcher's.")),
-            live(key("kind", Kind::Text, Nothing, "model", "Its kind of machine. Without it, the first of `kinds`.")),
-            live(key(
+            reloadable(keyword("address", Kind::Address, Required, "endpoint", "Where it listens.")),
+            reloadable(keyword("zone", Kind::Text, Unset, "az", "The zone that it is in. Without it, the dispatcher's.")),
+            reloadable(keyword("kind", Kind::Text, Unset, "model", "Its kind of machine. Without it, the first of `kinds`.")),
+            reloadable(keyword(
                 "cell",
-                Kind::Count { least: 0, most: u64::MAX },
-                Nothing,
+                Kind::Count { min: 0, max: u64::MAX },
+                Unset,
                 "pod_group",
                 "Its cell: a group that shares which keys it has seen.",
             )),
-            live(key("weight", POSITIVE, Default("1"), "capacity_hint", "Its size against other log workers.")),
-            live(key(
+            reloadable(keyword("weight", POSITIVE, Default("1"), "capacity_hint", "Its size against other log workers.")),
+            reloadable(keyword(
                 "state",
                 Kind::Choice(&[("active", "active"), ("draining", "leaving")]),
                 Default("active"),
@@ -281,41 +281,41 @@
         name: "limits",
         label: Label::None,
         path: "settings/limits",
-        platform: true,
+        overridden_by_platform: true,
         doc: "What the installation lets a dispatcher do.",
         keywords: &[
-            key(
+            keyword(
                 "attempts",
-                Kind::Count { least: 1, most: 100 },
+                Kind::Count { min: 1, max: 100 },
                 Default("6"),
                 "send_cap",
                 "The most call attempts for a request.",
             ),
-            key("cancel", Kind::Switch, ON, "cancel", "Attempts may be called off."),
-            key("probes", Kind::Switch, Default("off"), "probes", "Log workers may be asked for their load (`GET /stats`)."),
-            key(
+            keyword("cancel", Kind::Switch, DEFAULT_ON, "cancel", "Attempts may be called off."),
+            keyword("probes", Kind::Switch, Default("off"), "probes", "Log workers may be asked for their load (`GET /stats`)."),
+            keyword(
                 "second-copies",
                 Kind::Switch,
-                ON,
+                DEFAULT_ON,
                 "second_copies",
                 "A second copy of a safe request may be sent while the first is out.",
             ),
-            key("retry-after", Kind::Switch, ON, "retry_after", "Refused clients are told when to come back."),
-            key(
+            keyword("retry-after", Kind::Switch, DEFAULT_ON, "retry_after", "Refused clients are told when to come back."),
+            keyword(
                 "max-retry-after",
                 time(0.0, DAY),
                 Default("2s"),
                 "max_retry_after_ms",
                 "The longest time that they are told.",
             ),
-            key(
+            keyword(
                 "connection-idle",
                 time(1.0, DAY),
                 Default("15s"),
                 "conn_idle_ms",
                 "How long log workers leave an idle connection open: ours are closed sooner.",
             ),
-            key(
+            keyword(
                 "connect-timeout",
                 time(1.0, 60_000.0),
                 Default("250ms"),
@@ -328,92 +328,92 @@
         name: "rules",
         label: Label::None,
         path: "settings/rules",
-        platform: true,
+        overridden_by_platform: true,
         doc: "The figures of the rules that are always kept.",
         keywords: &[
-            key(
+            keyword(
                 "answer-slack",
                 time(0.0, 60_000.0),
                 Default("16ms"),
                 "answer_slack_ms",
                 "How long past the deadline a final answer still counts.",
             ),
-            key(
+            keyword(
                 "ask-every",
                 time(1.0, DAY),
                 Default("10s"),
                 "ask_every_ms",
                 "How long a dispatcher may go without asking discovery.",
             ),
-            key(
+            keyword(
                 "drain-grace",
                 time(0.0, 60_000.0),
                 Default("500ms"),
                 "stop_sending_within_ms",
                 "New work to a draining log worker stops within this time.",
             ),
-            key(
+            keyword(
                 "cold-from",
-                PART,
+                FRACTION,
                 Default("0.13"),
                 "cold_from",
-                "The part of its capacity that a log worker starts with, at the least.",
+                "The part of its capacity that a log worker starts with, at the min.",
             ),
-            key("ramp", time(0.0, DAY), Default("23s"), "ramp_time_ms", "When it is warm, at the latest."),
-            key(
+            keyword("ramp", time(0.0, DAY), Default("23s"), "ramp_time_ms", "When it is warm, at the latest."),
+            keyword(
                 "fall-multiple",
-                Kind::Number { least: 0.01, most: 1000.0 },
+                Kind::Number { min: 0.01, max: 1000.0 },
                 Default("3"),
                 "fall_multiple",
                 "Sent more than this times its present capacity, a cold log worker falls over",
             ),
-            key("fall-span", time(0.0, DAY), Default("3s"), "overload_for_ms", "within this time."),
+            keyword("fall-span", time(0.0, DAY), Default("3s"), "overload_for_ms", "within this time."),
         ],
     },
     Section {
         name: "reports",
         label: Label::None,
         path: "settings/reporting",
-        platform: true,
+        overridden_by_platform: true,
         doc: "The load reports of log workers.",
         keywords: &[
-            key(
+            keyword(
                 "how",
                 Kind::Choice(&[("answers", "answers"), ("probes", "probe"), ("none", "none")]),
                 Default("none"),
                 "how",
                 "Where they come from: with answers, with probes alone, or nowhere.",
             ),
-            key(
+            keyword(
                 "fields",
                 Kind::Texts,
-                Nothing,
+                Unset,
                 "fields",
                 "Their fields, by the names `busy_reqs`, `pending`, `cpu_share`, `failed_ps`, `served_ps`, `x0`, \
                  `x1`; others are skipped.",
             ),
-            key(
+            keyword(
                 "x0",
                 Kind::Choice(&[("free-slots", "free_slots"), ("free-memory", "free_memory")]),
                 Default("free-slots"),
                 "/settings/specifics/report_x0",
                 "What the field `x0` means.",
             ),
-            key(
+            keyword(
                 "x1",
                 Kind::Choice(&[("free-slots", "free_slots"), ("free-memory", "free_memory")]),
                 Default("free-memory"),
                 "/settings/specifics/report_x1",
                 "What the field `x1` means.",
             ),
-            key(
+            keyword(
                 "starts",
                 Kind::Switch,
-                ON,
+                DEFAULT_ON,
                 "/settings/specifics/tells_start",
                 "Log workers tell when a job starts.",
             ),
-            key(
+            keyword(
                 "progress",
                 time(0.0, DAY),
                 Default("0ms"),
@@ -427,25 +427,25 @@
         name: "faktory",
         label: Label::None,
         path: "faktory",
-        platform: false,
+        overridden_by_platform: false,
         doc: "The Faktory front. Without this section it is off.",
         keywords: &[
-            key("listen", Kind::Address, Error, "listen", "Where producers and consumers connect."),
-            key(
+            keyword("listen", Kind::Address, Required, "listen", "Where producers and consumers connect."),
+            keyword(
                 "connections",
-                Kind::Count { least: 1, most: 1 << 20 },
+                Kind::Count { min: 1, max: 1 << 20 },
                 Default("256"),
                 "max_connections",
                 "The most connections of both together. They come out of `sockets`.",
             ),
-            key(
+            keyword(
                 "claim",
                 time(1.0, DAY),
                 Default("5s"),
                 "claim_ms",
                 "How long a job waits for one consumer to fetch it before it is offered to another.",
             ),
-            key(
+            keyword(
                 "reconnect",
                 time(1.0, DAY),
                 Default("2s"),
@@ -458,46 +458,46 @@
         name: "vrrp",
         label: Label::None,
         path: "faktory/vrrp",
-        platform: false,
+        overridden_by_platform: false,
         doc: "A pair of daemons with the Faktory front: the master takes and hands out new work, the backup only \
               hears how its own ended. Needs the section `faktory`.",
         keywords: &[
-            key("listen", Kind::Address, Error, "listen", "This daemon's own IPv4 address and UDP port."),
-            key("peers", Kind::PeerAddresses, Error, "peers", "The other daemons'."),
-            key("router", Kind::Count { least: 1, most: 255 }, Error, "vrid", "The number of the virtual router."),
-            key(
+            keyword("listen", Kind::Address, Required, "listen", "This daemon's own IPv4 address and UDP port."),
+            keyword("peers", Kind::PeerAddresses, Required, "peers", "The other daemons'."),
+            keyword("router", Kind::Count { min: 1, max: 255 }, Required, "vrid", "The number of the virtual router."),
+            keyword(
                 "priority",
-                Kind::Count { least: 1, most: 255 },
+                Kind::Count { min: 1, max: 255 },
                 Default("100"),
                 "priority",
                 "1 to 254; 255 is for the owner of the addresses.",
             ),
-            key(
+            keyword(
                 "interval",
-                Kind::Hundredths { most: 4095 },
+                Kind::Centiseconds { max: 4095 },
                 Default("1s"),
                 "interval_cs",
                 "How often the master advertises.",
             ),
-            key("preempt", Kind::Switch, ON, "preempt", "Whether to take over from a master of lower priority."),
-            key("addresses", Kind::Ipv4s, Error, "addresses", "The virtual addresses, the same on every daemon."),
+            keyword("preempt", Kind::Switch, DEFAULT_ON, "preempt", "Whether to take over from a master of lower priority."),
+            keyword("addresses", Kind::Ipv4s, Required, "addresses", "The virtual addresses, the same on every daemon."),
         ],
     },
     Section {
         name: "log",
         label: Label::None,
         path: "log",
-        platform: false,
+        overridden_by_platform: false,
         doc: "What is written to standard error.",
         keywords: &[
-            key(
+            keyword(
                 "format",
                 Kind::Choice(&[("text", "text"), ("json", "json")]),
                 Default("text"),
                 "format",
                 "Lines for people, or one JSON object a line.",
             ),
-            live(key(
+            reloadable(keyword(
                 "level",
                 Kind::Text,
                 Default("info"),
@@ -505,17 +505,17 @@
                 "`error`, `warn`, `info`, `debug`, `trace`, or directives for each part, such as \
                  `info,rookspoke_channel=debug`. ROOKSPOKE_LOG goes before it.",
             )),
-            key(
+            keyword(
                 "repeats",
-                Kind::Count { least: 1, most: 1_000_000 },
+                Kind::Count { min: 1, max: 1_000_000 },
                 Default("20"),
                 "repeats",
-                "The most lines a second from one place in the program, at the levels from `info` up. What is \
+                "The max lines a second from one place in the program, at the levels from `info` up. What is \
                  left out is counted.",
             ),
-            key(
+            keyword(
                 "queue",
-                Kind::Count { least: 1, most: 1_000_000 },
+                Kind::Count { min: 1, max: 1_000_000 },
                 Default("4096"),
                 "queue",
                 "Lines that wait to be written. Beyond it they are dropped and counted: a log that nobody reads \
@@ -527,12 +527,12 @@
         name: "control",
         label: Label::None,
         path: "control",
-        platform: false,
+        overridden_by_platform: false,
         doc: "The socket that `rookspoke status` asks. Without this section there is none.",
-        keywords: &[key(
+        keywords: &[keyword(
             "path",
             Kind::Text,
-            Error,
+            Required,
             "path",
             "A Unix socket, readable for its owner alone. One that a dead daemon left is replaced.",
         )],
@@ -564,7 +564,7 @@
 }
 
 /// The table as a page in Markdown, for `docs/configuration.md`.
-pub fn page() -> String {
+pub fn markdown() -> String {
     let mut text = String::new();
     for section in SECTIONS {
         let title = match (section.name, section.label) {
@@ -577,10 +577,10 @@
         for keyword in section.keywords {
             let default = match keyword.absent {
                 Default(text) => format!("`{text}`"),
-                Nothing => "none".into(),
-                Error => "required".into(),
+                Unset => "none".into(),
+                Required => "required".into(),
             };
-            let reload = if keyword.reload { "yes" } else { "no" };
+            let reload = if keyword.reloadable { "yes" } else { "no" };
             let kind = keyword.kind.expected();
             text.push_str(&format!(
                 "| `{}` | {kind} | {default} | {reload} | {} |\n",
--- a/crates/conf/src/source.rs
+++ b/crates/conf/src/source.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// The most that one file may hold, in bytes: what is larger is no configuration.
-pub const MAX_FILE: u64 = 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
 /// Why a file could not be read.
 #[derive(Debug, Error)]
@@ -18,18 +18,18 @@
     Io(#[from] std::io::Error),
     /// It is something else.
     #[error("found {0}, expected a file")]
-    NoFile(&'static str),
+    NotAFile(&'static str),
     /// It is too long.
-    #[error("found {found} bytes, expected at most {most}")]
-    TooLong {
+    #[error("found {found} bytes, expected at most {max}")]
+    TooLarge {
         /// Its length in bytes, as far as it is known.
         found: u64,
         /// The most that is read, in bytes.
-        most: u64,
+        max: u64,
     },
     /// It is no text.
     #[error("found a byte that is not UTF-8 in line {line}, expected text")]
-    NoText {
+    NotUtf8 {
         /// The line, from 1.
         line: usize,
     },
@@ -40,26 +40,26 @@
 ///
 /// # Errors
 /// [`ReadError`] says what stands in the way.
-pub fn read_bounded(path: &Path, most: u64) -> Result<String, ReadError> {
+pub fn read_bounded(path: &Path, max: u64) -> Result<String, ReadError> {
     let meta = fs::metadata(path)?;
     if meta.is_dir() {
-        return Err(ReadError::NoFile("a folder"));
+        return Err(ReadError::NotAFile("a folder"));
     }
     if !meta.is_file() {
-        return Err(ReadError::NoFile("a pipe, socket or device"));
+        return Err(ReadError::NotAFile("a pipe, socket or device"));
     }
-    if meta.len() > most {
-        return Err(ReadError::TooLong { found: meta.len(), most });
+    if meta.len() > max {
+        return Err(ReadError::TooLarge { found: meta.len(), max });
     }
     let mut bytes = Vec::new();
     // It may have grown since.
-    File::open(path)?.take(most + 1).read_to_end(&mut bytes)?;
-    if bytes.len() as u64 > most {
-        return Err(ReadError::TooLong { found: bytes.len() as u64, most });
+    File::open(path)?.take(max + 1).read_to_end(&mut bytes)?;
+    if bytes.len() as u64 > max {
+        return Err(ReadError::TooLarge { found: bytes.len() as u64, max });
     }
     String::from_utf8(bytes).map_err(|error| {
         let valid = &error.as_bytes()[..error.utf8_error().valid_up_to()];
-        ReadError::NoText { line: 1 + valid.iter().filter(|byte| **byte == b'\n').count() }
+        ReadError::NotUtf8 { line: 1 + valid.iter().filter(|byte| **byte == b'\n').count() }
     })
 }
 
@@ -91,7 +91,7 @@
 
 /// A place as people count.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The text's name.
     pub file: String,
     /// From 1.
@@ -100,7 +100,7 @@
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -112,7 +112,7 @@
     /// # Errors
     /// As [`read_bounded`].
     pub fn open(&mut self, path: &Path) -> Result<usize, ReadError> {
-        let text = read_bounded(path, MAX_FILE)?;
+        let text = read_bounded(path, MAX_FILE_BYTES)?;
         let folder = path.parent().map_or_else(PathBuf::new, Path::to_path_buf);
         Ok(self.add(Source { name: path.display().to_string(), folder, text }))
     }
@@ -143,11 +143,11 @@
     }
 
     /// Where a part begins.
-    pub fn place(&self, span: Span) -> Place {
+    pub fn location(&self, span: Span) -> Location {
         let source = self.get(span.file);
         let before = &source.text[..span.start.min(source.text.len())];
         let line_start = before.rfind('\n').map_or(0, |at| at + 1);
-        Place {
+        Location {
             file: source.name.clone(),
             line: 1 + before.matches('\n').count(),
             column: 1 + before[line_start..].chars().count(),
--- a/crates/conf/src/syntax.rs
+++ b/crates/conf/src/syntax.rs
@@ -34,7 +34,7 @@
 
 impl Word {
     /// A word that stands in no text: from the command line, or from the program.
-    pub fn outside(text: &str) -> Self {
+    pub fn synthetic(text: &str) -> Self {
         Word { text: text.into(), span: Span { file: 0, start: 0, end: 0 } }
     }
 }
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -13,35 +13,35 @@
     /// A time, with its unit; kept in milliseconds.
     Time {
         /// The least, in milliseconds.
-        least: f64,
+        min: f64,
         /// The most, in milliseconds.
-        most: f64,
+        max: f64,
     },
     /// A time in steps of 10 ms; kept in hundredths of a second, as VRRP counts.
-    Hundredths {
+    Centiseconds {
         /// The most, in hundredths of a second.
-        most: u64,
+        max: u64,
     },
     /// A number of bytes, with or without a unit.
     Size {
         /// The least, in bytes.
-        least: u64,
+        min: u64,
         /// The most, in bytes.
-        most: u64,
+        max: u64,
     },
     /// A whole number.
     Count {
         /// The least.
-        least: u64,
+        min: u64,
         /// The most.
-        most: u64,
+        max: u64,
     },
     /// Any number.
     Number {
         /// The least.
-        least: f64,
+        min: f64,
         /// The most.
-        most: f64,
+        max: f64,
     },
     /// So many in a time; kept as a number for each second.
     Rate,
@@ -73,19 +73,19 @@
     /// What is expected, in words: for errors and for the page.
     pub fn expected(&self) -> String {
         match *self {
-            Kind::Time { least, most } => {
-                format!("a time from {} to {}, such as `250ms`", show_ms(least), show_ms(most))
+            Kind::Time { min, max } => {
+                format!("a time from {} to {}, such as `250ms`", format_ms(min), format_ms(max))
             }
-            Kind::Hundredths { most } => {
-                format!("a time from 10ms to {} in steps of 10ms", show_ms(most as f64 * 10.0))
+            Kind::Centiseconds { max } => {
+                format!("a time from 10ms to {} in steps of 10ms", format_ms(max as f64 * 10.0))
             }
-            Kind::Size { least, most } => {
-                format!("a size from {} to {}, such as `64KiB`", show_bytes(least), show_bytes(most))
+            Kind::Size { min, max } => {
+                format!("a size from {} to {}, such as `64KiB`", format_bytes(min), format_bytes(max))
             }
-            Kind::Count { least, most: u64::MAX } => format!("a whole number from {least} on"),
-            Kind::Count { least, most } => format!("a whole number from {least} to {most}"),
-            Kind::Number { least, most } if most == f64::MAX => format!("a number from {least} on"),
-            Kind::Number { least, most } => format!("a number from {least} to {most}"),
+            Kind::Count { min, max: u64::MAX } => format!("a whole number from {min} on"),
+            Kind::Count { min, max } => format!("a whole number from {min} to {max}"),
+            Kind::Number { min, max } if max == f64::MAX => format!("a number from {min} on"),
+            Kind::Number { min, max } => format!("a number from {min} to {max}"),
             Kind::Rate => "a rate, such as `5/s`".into(),
             Kind::Switch => "`on` or `off`".into(),
             Kind::Choice(words) => {
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// Says what was found and what is expected, at the word that is wrong.
-    pub fn read(&self, keyword: &Word, args: &[Word]) -> Result<Value, Problem> {
+    pub fn parse(&self, keyword: &Word, args: &[Word]) -> Result<Value, Problem> {
         let Some(first) = args.first() else {
             let text = format!("`{}` has no value, expected {}", keyword.text, self.expected());
             return Err(Problem::at(keyword.span, text));
@@ -120,33 +120,37 @@
             return Err(Problem::at(second.span, text));
         }
         if self.is_list() {
-            let values = args.iter().map(|arg| self.one(arg)).collect::<Result<Vec<_>, _>>()?;
+            let values = args.iter().map(|arg| self.parse_word(arg)).collect::<Result<Vec<_>, _>>()?;
             return Ok(Value::Array(values));
         }
-        self.one(first)
+        self.parse_word(first)
     }
 
-    fn one(&self, word: &Word) -> Result<Value, Problem> {
+    fn parse_word(&self, word: &Word) -> Result<Value, Problem> {
         let text = word.text.as_str();
         let value = match *self {
-            Kind::Time { least, most } => with_unit(text, &TIMES)
+            Kind::Time { min, max } => split_unit(text, &TIMES)
                 .map(|(number, unit)| number * unit)
-                .filter(|ms| (least..=most).contains(ms))
-                .map(number),
-            Kind::Hundredths { most } => with_unit(text, &TIMES)
+                .filter(|ms| (min..=max).contains(ms))
+                .map(json_number),
+            Kind::Centiseconds { max } => split_unit(text, &TIMES)
                 .map(|(number, unit)| number * unit / 10.0)
-                .filter(|cs| cs.fract() == 0.0 && (1.0..=most as f64).contains(cs))
+                .filter(|cs| cs.fract() == 0.0 && (1.0..=max as f64).contains(cs))
                 .map(|cs| json!(cs as u64)),
-            Kind::Size { least, most } => size(text).filter(|n| (least..=most).contains(n)).map(|n| json!(n)),
-            Kind::Count { least, most } => {
-                text.parse::<u64>().ok().filter(|n| (least..=most).contains(n)).map(|n| json!(n))
+            Kind::Size { min, max } => parse_size(text).filter(|n| (min..=max).contains(n)).map(|n| json!(n)),
+            Kind::Count { min, max } => {
+                text.parse::<u64>().ok().filter(|n| (min..=max).contains(n)).map(|n| json!(n))
             }
-            Kind::Number { least, most } => {
-                text.parse::<f64>().ok().filter(|n| (least..=most).contains(n)).map(number)
+            Kind::Number { min, max } => {
+                text.parse::<f64>().ok().filter(|n| (min..=max).contains(n)).map(json_number)
             }
             Kind::Rate => text.split_once('/').and_then(|(count, unit)| {
                 let unit = RATES.iter().find(|(name, _)| *name == unit)?.1;
-                count.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0).map(|n| number(n / unit))
+                count
+                    .parse::<f64>()
+                    .ok()
+                    .filter(|n| n.is_finite() && *n >= 0.0)
+                    .map(|n| json_number(n / unit))
             }),
             Kind::Switch => match text {
                 "on" | "yes" | "true" => Some(json!(true)),
@@ -168,8 +172,8 @@
         value.ok_or_else(|| {
             let problem = Problem::at(word.span, format!("found `{text}`, expected {}", self.expected()));
             match *self {
-                Kind::Choice(words) => problem.nearest(text, words.iter().map(|(word, _)| *word)),
-                Kind::Time { .. } | Kind::Hundredths { .. } if text.parse::<f64>().is_ok() => {
+                Kind::Choice(words) => problem.suggest(text, words.iter().map(|(word, _)| *word)),
+                Kind::Time { .. } | Kind::Centiseconds { .. } if text.parse::<f64>().is_ok() => {
                     problem.help("a time needs its unit: us, ms, s, min or h")
                 }
                 _ => problem,
@@ -178,16 +182,16 @@
     }
 
     /// How a value is written in a file.
-    pub fn show(&self, value: &Value) -> String {
+    pub fn format(&self, value: &Value) -> String {
         match (self, value) {
             (_, Value::Array(values)) => {
-                values.iter().map(|value| self.show(value)).collect::<Vec<_>>().join(" ")
+                values.iter().map(|value| self.format(value)).collect::<Vec<_>>().join(" ")
             }
-            (Kind::Time { .. }, value) => value.as_f64().map_or_else(|| value.to_string(), show_ms),
-            (Kind::Hundredths { .. }, value) => {
-                value.as_f64().map_or_else(|| value.to_string(), |cs| show_ms(cs * 10.0))
+            (Kind::Time { .. }, value) => value.as_f64().map_or_else(|| value.to_string(), format_ms),
+            (Kind::Centiseconds { .. }, value) => {
+                value.as_f64().map_or_else(|| value.to_string(), |cs| format_ms(cs * 10.0))
             }
-            (Kind::Size { .. }, value) => value.as_u64().map_or_else(|| value.to_string(), show_bytes),
+            (Kind::Size { .. }, value) => value.as_u64().map_or_else(|| value.to_string(), format_bytes),
             (Kind::Rate, value) => format!("{value}/s"),
             (_, Value::Bool(on)) => if *on { "on" } else { "off" }.into(),
             (Kind::Choice(words), Value::String(text)) => {
@@ -212,14 +216,14 @@
 }
 
 /// Whole numbers stay whole: readers of counts turn a fraction down.
-fn number(value: f64) -> Value {
+fn json_number(value: f64) -> Value {
     match value.fract() == 0.0 && value.abs() < 9e15 && value >= 0.0 {
         true => json!(value as u64),
         false => Number::from_f64(value).map_or(Value::Null, Value::Number),
     }
 }
 
-fn with_unit(text: &str, units: &[(&str, f64)]) -> Option<(f64, f64)> {
+fn split_unit(text: &str, units: &[(&str, f64)]) -> Option<(f64, f64)> {
     let at = text.find(|c: char| c.is_ascii_alphabetic())?;
     let unit = units.iter().find(|(name, _)| *name == &text[at..])?.1;
     let digits = text[..at].bytes().all(|b| b.is_ascii_digit() || b == b'.');
@@ -227,7 +231,7 @@
     Some((number, unit))
 }
 
-fn size(text: &str) -> Option<u64> {
+fn parse_size(text: &str) -> Option<u64> {
     let at = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let unit = match &text[at..] {
         "" => 1,
@@ -236,7 +240,7 @@
     text[..at].parse::<u64>().ok()?.checked_mul(unit)
 }
 
-fn show_ms(ms: f64) -> String {
+fn format_ms(ms: f64) -> String {
     let unit = TIMES.iter().rev().find(|(_, unit)| ms >= *unit && (ms / unit).fract() == 0.0);
     match unit {
         Some((name, unit)) => format!("{}{name}", ms / unit),
@@ -244,7 +248,7 @@
     }
 }
 
-fn show_bytes(bytes: u64) -> String {
+fn format_bytes(bytes: u64) -> String {
     let binary = |name: &str| name.len() != 2;
     let unit =
         SIZES.iter().rev().find(|(name, unit)| binary(name) && bytes >= *unit && bytes.is_multiple_of(*unit));
@@ -261,10 +265,10 @@
     }
 
     fn read(kind: Kind, text: &str) -> Result<Value, String> {
-        kind.read(&word("k"), &[word(text)]).map_err(|problem| problem.message)
+        kind.parse(&word("k"), &[word(text)]).map_err(|problem| problem.message)
     }
 
-    const ANY: Kind = Kind::Time { least: 0.0, most: 3.6e6 };
+    const ANY: Kind = Kind::Time { min: 0.0, max: 3.6e6 };
 
     #[test]
     fn times_have_units() {
@@ -278,7 +282,7 @@
 
     #[test]
     fn sizes_are_whole_and_do_not_wrap() {
-        let any = Kind::Size { least: 1, most: u64::MAX };
+        let any = Kind::Size { min: 1, max: u64::MAX };
         assert_eq!(read(any, "64KiB"), Ok(json!(65536)));
         assert_eq!(read(any, "512"), Ok(json!(512)));
         for bad in ["64K", "99999999999999999999", "18446744073709551615GiB", "-1", "1.5MiB", "0"] {
@@ -288,20 +292,20 @@
 
     #[test]
     fn bounds_hold_on_both_ends() {
-        let kind = Kind::Count { least: 2, most: 4 };
+        let kind = Kind::Count { min: 2, max: 4 };
         let found: Vec<bool> = ["1", "2", "4", "5"].iter().map(|n| read(kind, n).is_ok()).collect();
         assert_eq!(found, [false, true, true, false]);
-        assert!(read(Kind::Number { least: 0.0, most: 1.0 }, "NaN").is_err());
+        assert!(read(Kind::Number { min: 0.0, max: 1.0 }, "NaN").is_err());
     }
 
     proptest::proptest! {
         #[test]
         fn what_is_shown_reads_back(ms in 0u32..3_600_000, text in ".{1,20}", bytes in 1u64..1 << 40) {
             let time = json!(ms);
-            proptest::prop_assert_eq!(read(ANY, &ANY.show(&time)), Ok(time));
-            let sizes = Kind::Size { least: 1, most: 1 << 40 };
-            proptest::prop_assert_eq!(read(sizes, &sizes.show(&json!(bytes))), Ok(json!(bytes)));
-            let line = format!("k {}", Kind::Text.show(&json!(text)));
+            proptest::prop_assert_eq!(read(ANY, &ANY.format(&time)), Ok(time));
+            let sizes = Kind::Size { min: 1, max: 1 << 40 };
+            proptest::prop_assert_eq!(read(sizes, &sizes.format(&json!(bytes))), Ok(json!(bytes)));
+            let line = format!("k {}", Kind::Text.format(&json!(text)));
             // A text may hold characters that end a line for people only.
             let mut problems = Vec::new();
             let lines = crate::syntax::parse(0, &line, &mut problems);
--- a/crates/conf/tests/conf.rs
+++ b/crates/conf/tests/conf.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use rookspoke_conf::{compile, schema, Input, Origin, Override, Resolved, MAX_FILE};
+use rookspoke_conf::{compile, schema, Input, Origin, Override, Resolved, MAX_FILE_BYTES};
 use serde_json::json;
 use tempfile::TempDir;
 
@@ -65,7 +65,7 @@
 #[test]
 fn each_value_knows_where_it_came_from() {
     let files = Files::new(&[("main.conf", SMALL)]);
-    let over = |key: &str, text: &str, origin| Override { key: key.into(), text: text.into(), origin };
+    let over = |key: &str, text: &str, origin| Override { key: key.into(), value: text.into(), origin };
     let overrides = vec![
         over("log.level", "debug", Origin::Environment("ROOKSPOKE_LOG".into())),
         over("limits.attempts", "3", Origin::Flag),
@@ -145,7 +145,7 @@
     assert!(fails(folder.path()).ends_with("found a folder, expected a file"));
     let long = folder.path().join("long");
     fs::write(&long, vec![b'#'; 10 * 1024 * 1024]).expect("a file");
-    assert!(fails(&long).ends_with(&format!("found 10485760 bytes, expected at most {MAX_FILE}")));
+    assert!(fails(&long).ends_with(&format!("found 10485760 bytes, expected at most {MAX_FILE_BYTES}")));
     let bytes = folder.path().join("bytes");
     fs::write(&bytes, b"name a\nname \xff\n").expect("a file");
     assert!(fails(&bytes).ends_with("found a byte that is not UTF-8 in line 2, expected text"));
@@ -163,7 +163,7 @@
     let text = SMALL.replace("4001", "4002").replace("500ms", "600ms");
     let new = read(&format!("{text}log {{\n level warn\n}}\n")).expect("a configuration");
     let changes = new.changes_since(&old);
-    assert_eq!(changes.live, ["log level", "worker w-1 address"]);
+    assert_eq!(changes.at_reload, ["log level", "worker w-1 address"]);
     assert_eq!(changes.at_restart, ["class look-up aim"]);
     assert_eq!(old.changes_since(&old), Default::default());
 }
@@ -216,7 +216,7 @@
 fn the_page_has_every_keyword_as_the_table_does() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/configuration.md");
     let page = fs::read_to_string(page).expect("docs/configuration.md");
-    assert!(page.contains(&schema::page()), "run `rookspoke config keywords` and put it in the page");
+    assert!(page.contains(&schema::markdown()), "run `rookspoke config keywords` and put it in the page");
 }
 
 proptest::proptest! {
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -32,7 +32,7 @@
         }
         None => {
             let known = PARAMS.iter().map(|param| param.name);
-            Err(Problem::general(format!("found `{name}`, which is no parameter")).nearest(name, known))
+            Err(Problem::without_span(format!("found `{name}`, which is no parameter")).suggest(name, known))
         }
     }
 }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -24,13 +24,13 @@
 }
 
 const fn count(least: u64, most: u64) -> Kind {
-    Kind::Count { least, most }
+    Kind::Count { min: least, max: most }
 }
 const fn number(least: f64, most: f64) -> Kind {
-    Kind::Number { least, most }
+    Kind::Number { min: least, max: most }
 }
-const TIME: Kind = Kind::Time { least: 0.0, most: 86_400_000.0 };
-const LEAST_TIME: Kind = Kind::Time { least: 0.1, most: 86_400_000.0 };
+const TIME: Kind = Kind::Time { min: 0.0, max: 86_400_000.0 };
+const LEAST_TIME: Kind = Kind::Time { min: 0.1, max: 86_400_000.0 };
 const PART: Kind = number(0.0, 1.0);
 const SWITCH: Kind = Kind::Switch;
 
@@ -396,7 +396,7 @@
     /// # Errors
     /// Says what was found and what is expected.
     pub fn read(&self, text: &str) -> Result<Value, Problem> {
-        self.kind.read(&Word::outside(self.name), &[Word::outside(text)])
+        self.kind.parse(&Word::synthetic(self.name), &[Word::synthetic(text)])
     }
 }
 
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -28,7 +28,7 @@
     match sources.open(path) {
         Ok(_) => of(sources, stage),
         Err(error) => {
-            Err(Problems::new(vec![Problem::general(format!("{}: {error}", path.display()))], sources))
+            Err(Problems::new(vec![Problem::without_span(format!("{}: {error}", path.display()))], sources))
         }
     }
 }
@@ -90,7 +90,7 @@
         problems.extend(nobody.map(|text| Problem::at(place, text)));
     }
     if scenario.classes.iter().all(|class| class.get("share") == 0.0) {
-        problems.push(Problem::general("every class has the share 0, expected one that has jobs"));
+        problems.push(Problem::without_span("every class has the share 0, expected one that has jobs"));
     }
     scenario.incidents = incidents;
     match problems.is_empty() {
@@ -109,7 +109,7 @@
     let Some(param) = find(PARAMS, name) else {
         let text = format!("found `{name}`, which is no parameter");
         let known = PARAMS.iter().map(|param| param.name).chain(["class", "incident"]);
-        return Err(Problem::at(line.keyword.span, text).nearest(name, known));
+        return Err(Problem::at(line.keyword.span, text).suggest(name, known));
     };
     if !stage.knows(param.name) {
         let text = format!("found `{name}`, which real processes cannot play; use `incident link`");
@@ -119,7 +119,7 @@
         return Err(Problem::at(line.keyword.span, format!("`{name}` comes twice")));
     }
     seen.push(param.name);
-    let value = param.kind.read(&line.keyword, &line.args)?;
+    let value = param.kind.parse(&line.keyword, &line.args)?;
     scenario.values.insert(param.name, plain(&value));
     Ok(())
 }
@@ -134,10 +134,10 @@
         let Some(param) = find(CLASS_PARAMS, word) else {
             let text = format!("found `{word}`, which is no parameter of a class");
             let known = CLASS_PARAMS.iter().map(|param| param.name);
-            problems.push(Problem::at(inner.keyword.span, text).nearest(word, known));
+            problems.push(Problem::at(inner.keyword.span, text).suggest(word, known));
             continue;
         };
-        match param.kind.read(&inner.keyword, &inner.args) {
+        match param.kind.parse(&inner.keyword, &inner.args) {
             Ok(value) => drop(class.values.insert(param.name, plain(&value))),
             Err(problem) => problems.push(problem),
         }
@@ -154,7 +154,7 @@
     let Some((name, trouble)) = TROUBLES.iter().find(|(name, _)| *name == kind.text) else {
         let text = format!("found `{}`, which is no kind of incident", kind.text);
         let known = TROUBLES.iter().map(|(name, _)| *name).chain([LINK]);
-        return Err(Problem::at(kind.span, text).nearest(&kind.text, known));
+        return Err(Problem::at(kind.span, text).suggest(&kind.text, known));
     };
     if !stage.plays(*trouble) {
         let text = format!("found `{name}`, which the emulator cannot play; `rehearse` plays it");
@@ -169,7 +169,7 @@
             "size" => (crate::scenario::SIZE_OF, &mut size),
             other => {
                 let text = format!("found `{other}`, expected `at`, `for`, `part` or `size`");
-                return Err(Problem::at(word.span, text).nearest(other, ["at", "for", "part", "size"]));
+                return Err(Problem::at(word.span, text).suggest(other, ["at", "for", "part", "size"]));
             }
         };
         put(place, value(kind, word, words.next())?, word)?;
@@ -197,7 +197,7 @@
 /// The value after a word.
 fn value(kind: rookspoke_conf::Kind, word: &Word, value: Option<&Word>) -> Result<f64, Problem> {
     let value: Vec<Word> = value.into_iter().cloned().collect();
-    Ok(plain(&kind.read(word, &value)?))
+    Ok(plain(&kind.parse(word, &value)?))
 }
 
 fn put<T>(place: &mut Option<T>, value: T, word: &Word) -> Result<(), Problem> {
@@ -277,7 +277,7 @@
             let text = format!("found `{other}`, expected {FAULTS}");
             let known =
                 ["delay", "jitter", "cut", "refuse", "rate", "reset-at", "loss", "duplicate", "reorder"];
-            return Err(Problem::at(word.span, text).nearest(other, known));
+            return Err(Problem::at(word.span, text).suggest(other, known));
         }
     }
     Ok(())
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -203,8 +203,8 @@
             return tracing::warn!("told to reload; the configuration stays as it is: {error}");
         }
         let changes = new.resolved.changes_since(&setup.resolved);
-        let list = changes.live.iter().any(|key| key == "discovery" || key.starts_with("worker "));
-        tracing::info!("told to reload; changed, and heeded now: {}", words(&changes.live));
+        let list = changes.at_reload.iter().any(|key| key == "discovery" || key.starts_with("worker "));
+        tracing::info!("told to reload; changed, and heeded now: {}", words(&changes.at_reload));
         if !changes.at_restart.is_empty() {
             tracing::warn!("changed, and heeded only after a restart: {}", words(&changes.at_restart));
         }
@@ -219,7 +219,7 @@
             shorter
         });
         // What only a restart heeds is still as it was, and so is told again at the next reload.
-        setup.resolved.take_live(&new.resolved);
+        setup.resolved.apply_reload(&new.resolved);
         setup.config.source = new.config.source;
     }
 }
--- a/crates/rookspoke/src/main.rs
+++ b/crates/rookspoke/src/main.rs
@@ -36,7 +36,7 @@
         None | Some(Command::Serve) => serve(&from),
         Some(Command::Check { file }) => check(Given { config: Some(file), ..from }),
         Some(Command::Config { command: ConfigCommand::Show { json } }) => show(&from, json),
-        Some(Command::Config { command: ConfigCommand::Keywords }) => print(&schema::page()),
+        Some(Command::Config { command: ConfigCommand::Keywords }) => print(&schema::markdown()),
         Some(Command::Status { control, json }) => status(control, &from, json),
         Some(Command::Completions { shell }) => {
             let mut text = Vec::new();
@@ -124,7 +124,7 @@
         .into_iter()
         .map(|row| {
             let origin = row.origin.to_string();
-            json!({"key": row.key, "value": row.value, "origin": origin, "reload": row.reload})
+            json!({"key": row.key, "value": row.value, "origin": origin, "reload": row.reloadable})
         })
         .collect();
     print(&format!("{}\n", serde_json::Value::Array(rows)))
--- a/crates/rookspoke/src/setup.rs
+++ b/crates/rookspoke/src/setup.rs
@@ -119,7 +119,7 @@
         overrides.extend(var("ROOKSPOKE_LOG").map(|text| quoted("ROOKSPOKE_LOG", "log.level", &text)));
         overrides.extend(from.set.iter().map(|(key, text)| Override {
             key: key.clone(),
-            text: text.clone(),
+            value: text.clone(),
             origin: Origin::Flag,
         }));
         let resolved = compile(Input { file, platform, overrides }).map_err(Box::new)?;
@@ -134,7 +134,7 @@
             resolved.tree["seed"] = format!("{seed:016x}").into();
         }
         let bad = |resolved: &Resolved, error: ConfigError| {
-            SetupError::Problems(Box::new(resolved.problem(&error.field, error.found)))
+            SetupError::Problems(Box::new(resolved.problem_at(&error.field, error.found)))
         };
         let mut config = Config::from_tree(&resolved.tree).map_err(|e| bad(&resolved, e))?;
         if draws {
@@ -187,7 +187,7 @@
 /// A value of the environment is one word, whatever is in it.
 fn quoted(variable: &str, key: &str, text: &str) -> Override {
     let text = format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""));
-    Override { key: key.into(), text, origin: Origin::Environment(variable.into()) }
+    Override { key: key.into(), value: text, origin: Origin::Environment(variable.into()) }
 }
 
 fn var(name: &str) -> Option<String> {
