--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -187,7 +187,7 @@
         label: Label::Named("name"),
         path: "settings/classes",
         overridden_by_platform: true,
-        doc: "A class of requests. There is at min one.",
+        doc: "A class of requests. There is at least one.",
         keywords: &[
             keyword(
                 "effect",
@@ -357,7 +357,7 @@
                 FRACTION,
                 Default("0.13"),
                 "cold_from",
-                "The part of its capacity that a log worker starts with, at the min.",
+                "The part of its capacity that a log worker starts with, at the least.",
             ),
             keyword("ramp", time(0.0, DAY), Default("23s"), "ramp_time_ms", "When it is warm, at the latest."),
             keyword(
@@ -510,7 +510,7 @@
                 Kind::Count { min: 1, max: 1_000_000 },
                 Default("20"),
                 "repeats",
-                "The max lines a second from one place in the program, at the levels from `info` up. What is \
+                "The most lines a second from one place in the program, at the levels from `info` up. What is \
                  left out is counted.",
             ),
             keyword(
