--- a/crates/conf/src/compile.rs
+++ b/crates/conf/src/compile.rs
@@ -1,5 +1,5 @@
-//! From lines to a tree of values: finds each keyword in the table, reads its value, fills in what is absent, and
-//! checks what only several lines together can tell.
+//! Converts lines to a tree of values: looks up each keyword in the table, parses its value, fills in defaults
+//! and checks values that depend on each other.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -12,92 +12,91 @@
 use crate::source::{Sources, Span};
 use crate::syntax::{self, Line, Word};
 
-/// Files of one configuration, at most.
+/// Maximum number of files in one configuration.
 const MAX_FILES: usize = 64;
-/// Includes within includes, at most.
+/// Maximum depth of nested includes.
 const MAX_DEPTH: usize = 8;
-/// Problems that are reported at once: a file of another format would fill the screen many times.
+/// Maximum number of errors reported at once. A file in another format would otherwise fill many screens.
 const MAX_PROBLEMS: usize = 20;
 
-/// A value from elsewhere, which goes before the file's.
+/// A value from the command line or the environment, which takes precedence over the file.
 #[derive(Clone, Debug)]
 pub struct Override {
-    /// A keyword; in a section that comes once, `section.keyword`.
+    /// A keyword outside of all sections, or `section.keyword` in a section without instance names.
     pub key: String,
-    /// The value, as it would stand in a file.
+    /// The value, written as in a file.
     pub value: String,
-    /// Who says so.
+    /// Where the value comes from.
     pub origin: Origin,
 }
 
-/// What a configuration is read from.
+/// Sources of a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Input<'a> {
-    /// The file, if there is one.
+    /// Path of the configuration file.
     pub file: Option<&'a Path>,
-    /// The platform's JSON and its path: it wins over what the file says of the same.
+    /// The platform's JSON and its path. It takes precedence over the file.
     pub platform: Option<(Value, String)>,
-    /// Values that go before both.
+    /// Values that take precedence over both, from the command line or the environment.
     pub overrides: Vec<Override>,
 }
 
-/// Reads a configuration.
+/// Reads a configuration and fills in defaults.
 ///
 /// # Errors
-/// All that is wrong with it, up to a number that a person can take in.
+/// All errors that were found. A long list is cut off after the first ones.
 pub fn compile(input: Input<'_>) -> Result<Resolved, Problems> {
-    let mut build = Build { has_platform: input.platform.is_some(), ..Build::default() };
+    let mut builder = Builder { has_platform: input.platform.is_some(), ..Builder::default() };
     if let Some((tree, path)) = input.platform {
-        build.take_platform(tree, &path);
+        builder.add_platform(tree, &path);
     }
     if let Some(path) = input.file {
-        match build.sources.open(path) {
+        match builder.sources.open(path) {
             Ok(file) => {
-                let lines = build.lines(file, &mut vec![canonical(path)]);
-                build.top(&lines);
+                let lines = builder.parse_file(file, &mut vec![canonical(path)]);
+                builder.top_level(&lines);
             }
             Err(error) => {
-                build.problems.push(Problem::without_span(format!("{}: {error}", path.display())));
+                builder.problems.push(Problem::without_span(format!("{}: {error}", path.display())));
             }
         }
     }
     for over in input.overrides {
-        build.take_override(&over);
+        builder.add_override(&over);
     }
-    // What is absent is not known before all lines could be read.
-    if build.problems.is_empty() {
-        build.fill();
-        build.check();
+    // Missing values can only be told apart from unreadable ones if all lines were read.
+    if builder.problems.is_empty() {
+        builder.fill_defaults();
+        builder.check();
     }
-    build.done()
+    builder.finish()
 }
 
 #[derive(Default)]
-struct Build {
+struct Builder {
     tree: Value,
     origins: BTreeMap<String, Origin>,
     spans: BTreeMap<String, Span>,
     sources: Sources,
     problems: Vec<Problem>,
     warnings: Vec<String>,
-    /// The platform's JSON is there.
     has_platform: bool,
-    /// Sections that came: the first line of each, by name and label.
-    seen: BTreeMap<(&'static str, Option<String>), Span>,
+    /// The first line of each section found so far, by section name and instance name.
+    first_lines: BTreeMap<(&'static str, Option<String>), Span>,
 }
 
 fn canonical(path: &Path) -> PathBuf {
     std::fs::canonicalize(path).unwrap_or_else(|_| path.to_path_buf())
 }
 
-impl Build {
-    fn take_platform(&mut self, tree: Value, path: &str) {
+impl Builder {
+    fn add_platform(&mut self, tree: Value, path: &str) {
         self.tree = tree;
         for section in SECTIONS.iter().filter(|section| section.overridden_by_platform) {
             let list = self.tree.pointer(&format!("/{}", section.path)).and_then(Value::as_array);
             let items: Vec<Option<usize>> = match section.label {
                 Label::None => vec![None],
-                // The list of log workers is no setting, and may be long.
+                // The list of log workers is not a setting, and may be long.
                 Label::Named("uid") => Vec::new(),
                 Label::Named(_) => (0..list.map_or(0, Vec::len)).map(Some).collect(),
             };
@@ -112,8 +111,8 @@
         }
     }
 
-    /// The lines of a file, with those of the files that it includes in their place.
-    fn lines(&mut self, file: usize, open: &mut Vec<PathBuf>) -> Vec<Line> {
+    /// Parses a file and replaces its includes by the lines of the included files.
+    fn parse_file(&mut self, file: usize, open: &mut Vec<PathBuf>) -> Vec<Line> {
         let text = self.sources.get(file).text.clone();
         let lines = syntax::parse(file, &text, &mut self.problems);
         self.expand(lines, open)
@@ -138,30 +137,33 @@
             return self.problems.push(Problem::at(line.span(), text));
         };
         if line.block.is_some() {
-            return self.problems.push(Problem::at(line.span(), "`include` has no lines of its own"));
+            return self
+                .problems
+                .push(Problem::at(line.span(), "found `{` after `include`, expected the end of the line"));
         }
         if open.len() > MAX_DEPTH {
-            let text = format!("found more than {MAX_DEPTH} includes within each other");
+            let text =
+                format!("found includes nested more than {MAX_DEPTH} deep, expected at most {MAX_DEPTH}");
             return self.problems.push(Problem::at(line.span(), text));
         }
         let folder = self.sources.get(line.keyword.span.file).folder.clone();
         let path = folder.join(&pattern.text);
-        // A name with a sign of a pattern in it may still be a plain name.
+        // A file name may itself contain a pattern character.
         let is_pattern = pattern.text.contains(['*', '?', '[']) && !path.exists();
         let found = match is_pattern {
             false => vec![path],
             true => match glob::glob(&path.to_string_lossy()) {
-                // In the order of their names, whatever the folder's own order is.
+                // `glob` returns the paths sorted by name, independently of the order in the directory.
                 Ok(paths) => {
                     let (found, failed): (Vec<_>, Vec<_>) = paths.partition(Result::is_ok);
                     for error in failed.into_iter().filter_map(Result::err) {
-                        self.problems
-                            .push(Problem::at(pattern.span, format!("cannot be looked through: {error}")));
+                        let text = format!("cannot list the files for `{}`: {error}", pattern.text);
+                        self.problems.push(Problem::at(pattern.span, text));
                     }
                     found.into_iter().filter_map(Result::ok).filter(|path| !path.is_dir()).collect()
                 }
                 Err(error) => {
-                    let text = format!("found `{}`, expected a pattern: {error}", pattern.text);
+                    let text = format!("found `{}`, expected a valid pattern: {error}", pattern.text);
                     return self.problems.push(Problem::at(pattern.span, text));
                 }
             },
@@ -169,18 +171,18 @@
         for path in found {
             let real = canonical(&path);
             if open.contains(&real) {
-                let text = format!("`{}` includes itself", path.display());
+                let text = format!("found an include cycle: `{}` includes itself", path.display());
                 self.problems.push(Problem::at(pattern.span, text));
                 continue;
             }
             if self.sources.len() >= MAX_FILES {
-                let text = format!("found more than {MAX_FILES} files, expected no more");
+                let text = format!("found more than {MAX_FILES} files, expected at most {MAX_FILES}");
                 return self.problems.push(Problem::at(pattern.span, text));
             }
             match self.sources.open(&path) {
                 Ok(file) => {
                     open.push(real);
-                    let lines = self.lines(file, open);
+                    let lines = self.parse_file(file, open);
                     open.pop();
                     all.extend(lines);
                 }
@@ -192,7 +194,7 @@
         }
     }
 
-    fn top(&mut self, lines: &[Line]) {
+    fn top_level(&mut self, lines: &[Line]) {
         let top = &SECTIONS[0];
         for line in lines {
             let name = line.keyword.text.as_str();
@@ -205,7 +207,7 @@
                 }
                 (None, Some(_)) => {
                     let names = SECTIONS.iter().map(|section| section.name);
-                    let text = format!("found the section `{name}`, which is not known");
+                    let text = format!("found the section `{name}`, expected a known section");
                     self.problems.push(Problem::at(line.keyword.span, text).suggest(name, names));
                 }
                 (None, None) => self.line(top, None, line),
@@ -226,17 +228,18 @@
                 return self.problems.push(Problem::at(line.span(), text));
             }
         };
-        let seen = (section.name, label.map(|word| word.text.clone()));
-        if let Some(first) = self.seen.insert(seen, line.span()) {
+        let key = (section.name, label.map(|word| word.text.clone()));
+        if let Some(first) = self.first_lines.insert(key, line.span()) {
             let first = self.sources.location(first);
-            let text = format!("`{}` comes twice; the first is at {first}", words(line));
+            let text =
+                format!("found `{}` twice, expected it once; the first is at {first}", join_words(line));
             return self.problems.push(Problem::at(line.span(), text));
         }
         let item = match (section.label, label) {
             (Label::Named(field), Some(name)) => {
                 let list = format!("/{}", section.path);
                 let item = self.tree.pointer(&list).and_then(Value::as_array).map_or(0, Vec::len);
-                if !self.ignored(section) {
+                if !self.is_ignored(section) {
                     let pointer = section.pointer(Some(item), field);
                     self.set(&pointer, json!(name.text), Some(name.span));
                     self.spans.insert(format!("{list}/{item}"), line.span());
@@ -244,36 +247,40 @@
                 Some(item)
             }
             _ => {
-                // Even an empty section says that it is wanted.
-                if !self.ignored(section) {
+                // An empty section is present in the tree too, since it turns its function on.
+                if !self.is_ignored(section) {
                     self.spans.insert(format!("/{}", section.path), line.span());
                     if self.tree.pointer(&format!("/{}", section.path)).is_none() {
-                        put(&mut self.tree, &format!("/{}", section.path), json!({}));
+                        set_pointer(&mut self.tree, &format!("/{}", section.path), json!({}));
                     }
                 }
                 None
             }
         };
-        if self.ignored(section) {
+        if self.is_ignored(section) {
             let place = self.sources.location(line.span());
-            self.warnings
-                .push(format!("{place}: `{}` is ignored: the platform's JSON says this", words(line)));
+            self.warnings.push(format!(
+                "{place}: `{}` is ignored: the platform's JSON takes precedence",
+                join_words(line)
+            ));
         }
         block.iter().for_each(|inner| self.line(section, item, inner));
     }
 
-    /// The platform's JSON says these things.
-    fn ignored(&self, section: &Section) -> bool {
+    /// Whether the platform's JSON takes precedence over a section of the file.
+    fn is_ignored(&self, section: &Section) -> bool {
         self.has_platform && section.overridden_by_platform
     }
 
     fn line(&mut self, section: &'static Section, item: Option<usize>, line: &Line) {
         let name = line.keyword.text.as_str();
         let Some(keyword) = section.keyword(name) else {
-            return self.problems.push(unknown(section, &line.keyword));
+            return self.problems.push(unknown_keyword(section, &line.keyword));
         };
         if line.block.is_some() {
-            let text = format!("`{name}` is no section, expected its value and the end of the line");
+            let text = format!(
+                "found `{{` on the line of the keyword `{name}`, expected its value and the end of the line"
+            );
             return self.problems.push(Problem::at(line.span(), text));
         }
         let value = match keyword.kind.parse(&line.keyword, &line.args) {
@@ -281,23 +288,24 @@
             Err(problem) => return self.problems.push(problem),
         };
         let pointer = section.pointer(item, keyword.path);
-        if self.ignored(section) {
+        if self.is_ignored(section) {
             if section.name.is_empty() {
                 let place = self.sources.location(line.span());
-                self.warnings.push(format!("{place}: `{name}` is ignored: the platform's JSON says this"));
+                self.warnings
+                    .push(format!("{place}: `{name}` is ignored: the platform's JSON takes precedence"));
             }
             return;
         }
         if let Some(first) = self.spans.get(&pointer) {
             let first = self.sources.location(*first);
-            let text = format!("`{name}` comes twice; the first is at {first}");
+            let text = format!("found `{name}` twice, expected it once; the first is at {first}");
             return self.problems.push(Problem::at(line.keyword.span, text));
         }
         self.set(&pointer, value, Some(line.span()));
     }
 
     fn set(&mut self, pointer: &str, value: Value, span: Option<Span>) {
-        put(&mut self.tree, pointer, value);
+        set_pointer(&mut self.tree, pointer, value);
         let origin = match span {
             Some(span) => Origin::File(self.sources.location(span)),
             None => Origin::Default,
@@ -308,33 +316,37 @@
         }
     }
 
-    fn take_override(&mut self, over: &Override) {
+    fn add_override(&mut self, over: &Override) {
         let name = format!("{} {}", over.origin, over.key);
         let file = self.sources.add_text(&name, &over.value);
         let span = Span { file, start: 0, end: over.value.len() };
         let (section, keyword) = over.key.split_once('.').unwrap_or(("", &over.key));
-        let at_key = Word { text: keyword.into(), span };
+        let key_word = Word { text: keyword.into(), span };
         let known = schema::section(section).filter(|section| section.label == Label::None);
         let Some(section) = known else {
-            let text = format!("found the section `{section}`, which is not known or has a name of its own");
+            let text =
+                format!("found the section `{section}`, expected a known section without instance names");
             let names = SECTIONS.iter().filter(|s| s.label == Label::None).map(|s| s.name);
             return self.problems.push(Problem::at(span, text).suggest(section, names));
         };
         let Some(keyword) = section.keyword(keyword) else {
-            return self.problems.push(unknown(section, &at_key));
+            return self.problems.push(unknown_keyword(section, &key_word));
         };
-        // Several values are several words, as in a file.
+        // A value of several words is a list, as in a file.
         let mut problems = Vec::new();
         let line = format!("{} {}", keyword.name, over.value);
         let args = syntax::parse(file, &line, &mut problems).pop().map_or_else(Vec::new, |line| line.args);
         let args: Vec<Word> = args.into_iter().map(|word| Word { span, ..word }).collect();
         if !problems.is_empty() {
-            return self.problems.push(Problem::at(span, "cannot be read as the value of a line"));
+            return self.problems.push(Problem::at(
+                span,
+                format!("found `{}`, expected the value of a keyword as in a file", over.value),
+            ));
         }
-        match keyword.kind.parse(&at_key, &args) {
+        match keyword.kind.parse(&key_word, &args) {
             Ok(value) => {
                 let pointer = section.pointer(None, keyword.path);
-                put(&mut self.tree, &pointer, value);
+                set_pointer(&mut self.tree, &pointer, value);
                 self.origins.insert(pointer.clone(), over.origin.clone());
                 self.spans.insert(pointer, span);
             }
@@ -342,15 +354,15 @@
         }
     }
 
-    /// Puts in what is absent.
-    fn fill(&mut self) {
+    /// Fills in defaults and reports required keywords that are missing.
+    fn fill_defaults(&mut self) {
         for section in SECTIONS {
-            if self.ignored(section) {
+            if self.is_ignored(section) {
                 continue;
             }
             let list = self.tree.pointer(&format!("/{}", section.path));
             let items: Vec<Option<usize>> = match section.label {
-                // The fronts and the control socket are off unless their section is there.
+                // These functions are off unless their section is present.
                 Label::None if OPTIONAL.contains(&section.name) && list.is_none() => continue,
                 Label::None => vec![None],
                 Label::Named(_) => {
@@ -359,7 +371,7 @@
             };
             for item in items {
                 for keyword in section.keywords {
-                    self.fill_one(section, item, keyword);
+                    self.fill_default(section, item, keyword);
                 }
             }
         }
@@ -368,7 +380,7 @@
         }
     }
 
-    fn fill_one(&mut self, section: &Section, item: Option<usize>, keyword: &Keyword) {
+    fn fill_default(&mut self, section: &Section, item: Option<usize>, keyword: &Keyword) {
         let pointer = section.pointer(item, keyword.path);
         if self.tree.pointer(&pointer).is_some() {
             return;
@@ -377,7 +389,7 @@
             Absent::Unset => {}
             Absent::Default(text) => {
                 let value = keyword.kind.parse(&Word::synthetic(keyword.name), &[Word::synthetic(text)]);
-                // A test reads every default.
+                // Tests check that every default in the table is valid.
                 if let Ok(value) = value {
                     self.set(&pointer, value, None);
                 }
@@ -392,19 +404,19 @@
                     if section.name.is_empty() { String::new() } else { format!(" in `{}`", section.name) };
                 let text =
                     format!("`{}` is missing{place}, expected {}", keyword.name, keyword.kind.expected());
-                let span = at.or(self.whole());
+                let span = at.or(self.start_of_file());
                 self.problems.push(Problem { message: text, span, help: None });
             }
         }
     }
 
-    /// The file as a whole, for what is nowhere in it.
-    fn whole(&self) -> Option<Span> {
+    /// The start of the file, as the location of errors about something missing in it.
+    fn start_of_file(&self) -> Option<Span> {
         let is_file = !self.sources.is_empty() && !self.has_platform;
         is_file.then_some(Span { file: 0, start: 0, end: 0 })
     }
 
-    /// Values that follow from others.
+    /// Fills in values that are derived from other values.
     fn fill_dependent(&mut self) {
         let text = |tree: &Value, pointer: &str| tree.pointer(pointer).cloned().unwrap_or(Value::Null);
         let zone = text(&self.tree, "/settings/zone");
@@ -422,20 +434,24 @@
             }
         }
         if listed > 0 {
-            put(&mut self.tree, "/known/rev", json!(0));
-            put(&mut self.tree, "/known/all", json!(true));
-        }
-        let asks = self.tree.pointer("/discovery").is_some();
-        put(&mut self.tree, "/settings/discovery", json!(if asks { "subscribe" } else { "automatic" }));
+            set_pointer(&mut self.tree, "/known/rev", json!(0));
+            set_pointer(&mut self.tree, "/known/all", json!(true));
+        }
+        let has_discovery = self.tree.pointer("/discovery").is_some();
+        set_pointer(
+            &mut self.tree,
+            "/settings/discovery",
+            json!(if has_discovery { "subscribe" } else { "automatic" }),
+        );
         if self.tree.pointer("/settings/reporting/fields").is_none() {
-            put(&mut self.tree, "/settings/reporting/fields", json!([]));
+            set_pointer(&mut self.tree, "/settings/reporting/fields", json!([]));
         }
         if self.tree.pointer("/settings/projects").is_none() {
-            put(&mut self.tree, "/settings/projects", json!([]));
+            set_pointer(&mut self.tree, "/settings/projects", json!([]));
         }
     }
 
-    /// What only several lines together can tell.
+    /// Checks values that depend on each other.
     fn check(&mut self) {
         if !self.has_platform {
             self.check_platform();
@@ -443,7 +459,9 @@
         let has = |pointer: &str| self.tree.pointer(pointer).is_some_and(|value| !value.is_null());
         if has("/faktory/vrrp") && !has("/faktory/listen") {
             let at = self.spans.get("/faktory/vrrp").copied();
-            let text = "`vrrp` needs the section `faktory`: it settles which daemon of a pair accepts jobs";
+            let text =
+                "found `vrrp` without `faktory`, expected both: VRRP elects the daemon of a pair that \
+                        accepts jobs";
             self.problems.push(Problem { message: text.into(), span: at, help: None });
         }
     }
@@ -452,71 +470,71 @@
         let count =
             |tree: &Value, pointer: &str| tree.pointer(pointer).and_then(Value::as_array).map_or(0, Vec::len);
         if count(&self.tree, "/settings/classes") == 0 {
-            let message = "there is no `class`, expected at least one".into();
-            self.problems.push(Problem { message, span: self.whole(), help: None });
+            let message = "found no section `class`, expected at least one".into();
+            self.problems.push(Problem { message, span: self.start_of_file(), help: None });
         }
         if self.tree.pointer("/discovery").is_none() && count(&self.tree, "/known/targets") == 0 {
             let message =
-                "there is neither `discovery` nor a `worker`, expected one of them: nobody could take a \
-                           request";
-            self.problems.push(Problem { message: message.into(), span: self.whole(), help: None });
+                "found neither `discovery` nor a section `worker`, expected one of them: without log workers, \
+                           no request can be served";
+            self.problems.push(Problem { message: message.into(), span: self.start_of_file(), help: None });
         }
-        self.among("/settings/zone", "/settings/localities", "zones");
+        self.check_listed("/settings/zone", "/settings/localities", "zones");
         for item in 0..count(&self.tree, "/known/targets") {
-            self.among(&format!("/known/targets/{item}/az"), "/settings/localities", "zones");
-            self.among(&format!("/known/targets/{item}/model"), "/settings/machine_types", "kinds");
+            self.check_listed(&format!("/known/targets/{item}/az"), "/settings/localities", "zones");
+            self.check_listed(&format!("/known/targets/{item}/model"), "/settings/machine_types", "kinds");
         }
         let kinds: Vec<String> = names(&self.tree, "/settings/machine_types");
         let mut class_kinds = Vec::new();
         for item in 0..count(&self.tree, "/settings/classes") {
             let pointer = format!("/settings/classes/{item}/kind");
-            self.among(&pointer, "/settings/machine_types", "kinds");
+            self.check_listed(&pointer, "/settings/machine_types", "kinds");
             let kind = self.tree.pointer(&pointer).and_then(Value::as_str);
             let place = kind.and_then(|kind| kinds.iter().position(|name| name == kind));
             class_kinds.push(place.map_or(json!(-1), |place| json!(place)));
         }
-        put(&mut self.tree, "/settings/specifics/class_kind", Value::Array(class_kinds));
+        set_pointer(&mut self.tree, "/settings/specifics/class_kind", Value::Array(class_kinds));
         let number = |pointer: &str| self.tree.pointer(pointer).and_then(Value::as_u64).unwrap_or(0);
         let (me, all) = (number("/settings/me"), number("/settings/balancers"));
         if me >= all {
             let at = self.spans.get("/settings/me").or(self.spans.get("/settings/balancers")).copied();
-            let text = format!("found `number` {me} among {all} `dispatchers`, expected it below that");
+            let text = format!("found {me} for `number`, expected less than `dispatchers` ({all})");
             self.problems.push(Problem { message: text, span: at, help: None });
         }
     }
 
-    /// A name has to be one of a list.
-    fn among(&mut self, pointer: &str, list: &str, keyword: &str) {
+    /// Checks that a name occurs in a list that another keyword defines.
+    fn check_listed(&mut self, pointer: &str, list: &str, keyword: &str) {
         let Some(name) = self.tree.pointer(pointer).and_then(Value::as_str) else { return };
         let known = names(&self.tree, list);
-        if known.iter().any(|one| one == name) {
+        if known.iter().any(|listed| listed == name) {
             return;
         }
         let text = format!("found `{name}`, expected one of `{keyword}`: {}", known.join(", "));
-        let span = self.spans.get(pointer).copied().or(self.whole());
+        let span = self.spans.get(pointer).copied().or(self.start_of_file());
         let problem = Problem { message: text, span, help: None };
         let problem = problem.suggest(name, known.iter().map(String::as_str));
         self.problems.push(problem);
     }
 
-    fn done(mut self) -> Result<Resolved, Problems> {
+    fn finish(mut self) -> Result<Resolved, Problems> {
         if self.problems.is_empty() {
-            let Build { tree, origins, spans, sources, warnings, .. } = self;
+            let Builder { tree, origins, spans, sources, warnings, .. } = self;
             return Ok(Resolved { tree, origins, spans, sources, warnings });
         }
         let more = self.problems.len().saturating_sub(MAX_PROBLEMS);
         self.problems.truncate(MAX_PROBLEMS);
         if more > 0 {
-            self.problems.push(Problem::without_span(format!("and {more} more")));
+            self.problems.push(Problem::without_span(format!("and {more} more errors")));
         }
         Err(Problems::new(self.problems, self.sources))
     }
 }
 
-/// Sections whose absence turns something off.
+/// Sections whose function is off unless the section is present.
 const OPTIONAL: [&str; 3] = ["faktory", "vrrp", "control"];
 
-fn words(line: &Line) -> String {
+fn join_words(line: &Line) -> String {
     let words = std::iter::once(&line.keyword).chain(&line.args);
     words.map(|word| word.text.as_str()).collect::<Vec<_>>().join(" ")
 }
@@ -526,12 +544,12 @@
     list.into_iter().flatten().filter_map(Value::as_str).map(str::to_owned).collect()
 }
 
-fn unknown(section: &Section, word: &Word) -> Problem {
+fn unknown_keyword(section: &Section, word: &Word) -> Problem {
     let place = match section.name {
         "" => "outside of all sections".to_owned(),
-        name => format!("in `{name}`"),
+        name => format!("of the section `{name}`"),
     };
-    let problem = Problem::at(word.span, format!("found `{}`, which is no keyword {place}", word.text));
+    let problem = Problem::at(word.span, format!("found `{}`, expected a keyword {place}", word.text));
     let problem = problem.suggest(&word.text, section.keywords.iter().map(|keyword| keyword.name));
     if problem.help.is_some() {
         return problem;
@@ -546,8 +564,8 @@
     }
 }
 
-/// Puts a value at a JSON pointer, making objects on the way; a list grows by one item at its end.
-fn put(tree: &mut Value, pointer: &str, value: Value) {
+/// Sets the value at a JSON pointer. Missing objects and list items on the path are created.
+fn set_pointer(tree: &mut Value, pointer: &str, value: Value) {
     let mut at = tree;
     for part in pointer.split('/').skip(1) {
         at = match (at, part.parse::<usize>()) {
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,12 +1,13 @@
-//! The line-based configuration of rookspoke.
+//! Reader of rookspoke's line-based configuration file.
 //!
-//! A file is a list of lines `keyword value ...`; `#` starts a comment, `section name {` and `}` enclose lines
-//! that belong together, `include GLOB` reads further files in its place. Every keyword stands in one table,
-//! [`schema`], with its unit, default and range: reading, checking, showing and the page for operators all go by
-//! it. What is read becomes a tree of the same shape as the platform's JSON, so that one reader serves both.
+//! A file consists of lines of the form `keyword value ...`. `#` starts a comment, `section name {` and `}`
+//! enclose the lines of a section, and `include GLOB` inserts the lines of other files. [`schema`] defines every
+//! keyword with its unit, default and range; parsing, validation, output and the reference for operators all use
+//! that table. The result is a tree of the same shape as the platform's JSON, so that the same code deserializes
+//! both.
 //!
-//! Nothing is taken from a file with an error: all its errors are reported together, each with file, line, column,
-//! what was found and what was expected.
+//! A configuration with an error is rejected as a whole. All errors are reported together, each with file, line,
+//! column, what was found and what was expected.
 
 mod compile;
 mod problem;
--- a/crates/conf/src/resolved.rs
+++ b/crates/conf/src/resolved.rs
@@ -1,4 +1,4 @@
-//! A configuration with all its values, and where each came from.
+//! A complete configuration: all values and the origin of each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,18 +9,18 @@
 use crate::schema::{Label, Section, SECTIONS};
 use crate::source::{Location, Sources, Span};
 
-/// Where a value came from.
+/// Origin of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// Nobody said anything.
+    /// The default, or derived from other values.
     Default,
     /// A line of a file.
     File(Location),
-    /// The platform's JSON.
+    /// The platform's JSON, with its path.
     Platform(String),
-    /// A variable of the environment.
+    /// An environment variable, with its name.
     Environment(String),
-    /// The command line.
+    /// A flag on the command line.
     Flag,
 }
 
@@ -36,25 +36,26 @@
     }
 }
 
-/// A value, for people.
+/// One value of the configuration, formatted for output.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Section, label and keyword, parted by blanks.
+    /// Section, instance name and keyword, separated by spaces.
     pub key: String,
-    /// As it would stand in a file.
+    /// The value, written as in a file.
     pub value: String,
-    /// Where it came from.
+    /// Where the value came from.
     pub origin: Origin,
-    /// Whether a reload heeds it.
+    /// Whether a reload applies a change of the value.
     pub reloadable: bool,
 }
 
-/// A configuration that has been read without an error.
+/// A configuration without errors.
 #[derive(Clone, Debug, Default)]
 pub struct Resolved {
-    /// The values, in the shape of the platform's JSON; `faktory`, `log` and `control` stand beside its fields.
+    /// The values, in the shape of the platform's JSON. `faktory`, `log` and `control` are additional fields of
+    /// the root.
     pub tree: Value,
-    /// What is worth a warning.
+    /// Warnings, such as lines that are ignored because the platform's JSON sets the same values.
     pub warnings: Vec<String>,
     pub(crate) origins: BTreeMap<String, Origin>,
     pub(crate) spans: BTreeMap<String, Span>,
@@ -62,7 +63,7 @@
 }
 
 impl Resolved {
-    /// Every value that a keyword stands for, in the order of the table.
+    /// All values that are set, in the order of the table of keywords.
     pub fn rows(&self) -> Vec<Row> {
         let mut rows = Vec::new();
         for section in SECTIONS {
@@ -92,7 +93,7 @@
         rows
     }
 
-    /// The places of a section: one without a number, or as many as its list holds.
+    /// The instances of a section: `None` for a section that occurs once, or the indices of a list.
     fn items(&self, section: &Section) -> Vec<Option<usize>> {
         match section.label {
             Label::None => vec![None],
@@ -107,7 +108,7 @@
         self.tree.pointer(pointer).and_then(Value::as_str).map(str::to_owned)
     }
 
-    /// What differs from an earlier configuration, by keyword: what a reload heeds, and what it does not.
+    /// Compares with an earlier configuration and returns the keywords whose values differ.
     pub fn changes_since(&self, earlier: &Resolved) -> Changes {
         let rows = |of: &Resolved| -> BTreeMap<String, (String, bool)> {
             of.rows().into_iter().map(|row| (row.key, (row.value, row.reloadable))).collect()
@@ -116,18 +117,19 @@
         let keys: BTreeSet<&String> = new.keys().chain(old.keys()).collect();
         let mut changes = Changes::default();
         for key in keys {
-            let (now, before) = (new.get(key), old.get(key));
-            if now.map(|row| &row.0) == before.map(|row| &row.0) {
+            let (after, before) = (new.get(key), old.get(key));
+            if after.map(|row| &row.0) == before.map(|row| &row.0) {
                 continue;
             }
-            let live = now.or(before).is_some_and(|row| row.1);
-            let list = if live { &mut changes.at_reload } else { &mut changes.at_restart };
+            let reloadable = after.or(before).is_some_and(|row| row.1);
+            let list = if reloadable { &mut changes.at_reload } else { &mut changes.at_restart };
             list.push(key.clone());
         }
         changes
     }
 
-    /// Takes over what a reload heeds, so that the next reload is compared with what holds.
+    /// Applies the values of `new` that a reload can change, so that the next reload is compared with the values
+    /// in effect.
     pub fn apply_reload(&mut self, new: &Resolved) {
         let list = new.tree.get("known").cloned().unwrap_or(Value::Null);
         let discovery = new.tree.get("discovery").cloned().unwrap_or(Value::Null);
@@ -136,22 +138,22 @@
             tree.insert("known".into(), list);
             tree.insert("discovery".into(), discovery);
         }
-        if let (Some(at), Some(level)) = (self.tree.pointer_mut("/log/level"), level) {
-            *at = level;
+        if let (Some(current), Some(level)) = (self.tree.pointer_mut("/log/level"), level) {
+            *current = level;
         }
     }
 
-    /// An error that another reader found at a field, as a problem at the line which set it. Fields are parted
-    /// by dots, as in `settings.classes.0.gain`.
+    /// Reports an error that was found in a field after parsing, at the line that set the field. Components of
+    /// the field's path are separated by dots, as in `settings.classes.0.gain`.
     pub fn problem_at(&self, field: &str, message: impl fmt::Display) -> Problems {
         let pointer = format!("/{}", field.replace('.', "/"));
-        let mut part = pointer.as_str();
+        let mut prefix = pointer.as_str();
         let span = loop {
-            if let Some(span) = self.spans.get(part) {
+            if let Some(span) = self.spans.get(prefix) {
                 break Some(*span);
             }
-            match part.rfind('/') {
-                Some(at) if at > 0 => part = &part[..at],
+            match prefix.rfind('/') {
+                Some(end) if end > 0 => prefix = &prefix[..end],
                 _ => break None,
             }
         };
@@ -160,11 +162,11 @@
     }
 }
 
-/// What a new configuration changes.
+/// Keywords whose values differ between two configurations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Keywords that a reload heeds.
+    /// Changes that a reload applies.
     pub at_reload: Vec<String>,
-    /// Keywords that only a restart heeds.
+    /// Changes that require a restart.
     pub at_restart: Vec<String>,
 }
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -1,59 +1,60 @@
-//! Every section and keyword: its unit, default and range, where it goes, and whether a reload heeds it.
+//! The table of all sections and keywords: kind of value, range, default, path in the settings tree, and whether
+//! a reload applies a change.
 
 use crate::value::Kind;
 
-/// What may follow a section's name.
+/// What follows a section's name in its first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Label {
-    /// Nothing: the section may come once.
+    /// Nothing. The section may occur once.
     None,
-    /// A name of its own: the section may come often, and the name goes to this field.
+    /// A name that tells apart sections of this kind, which may occur repeatedly. It is stored in this field.
     Named(&'static str),
 }
 
-/// A section of the file.
+/// Definition of a section: a group of keywords in braces.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// Its name; empty for the lines outside of all sections.
+    /// Name in the file; empty for the keywords outside of all sections.
     pub name: &'static str,
-    /// What follows the name.
+    /// Whether instances of the section have names.
     pub label: Label,
-    /// Where its fields go: a path into the tree, of names parted by `/`. The path of a section that may come
-    /// often leads to a list.
+    /// Path of its fields in the tree: names separated by `/`. For a section with [`Label::Named`], the path of
+    /// a list with one item for each instance.
     pub path: &'static str,
-    /// Whether the platform's JSON, where there is one, says these things instead.
+    /// Whether the platform's JSON, if there is one, supplies these values, so that the file's are ignored.
     pub overridden_by_platform: bool,
-    /// What it is for.
+    /// Description in the reference for operators.
     pub doc: &'static str,
-    /// Its keywords.
+    /// Keywords that may stand in the section.
     pub keywords: &'static [Keyword],
 }
 
-/// What holds where a keyword is not given.
+/// What applies if a keyword is not given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absent {
-    /// This, as it would stand in a file.
+    /// This value, written as in a file.
     Default(&'static str),
-    /// Nothing: that is a meaning of its own, told in the text.
+    /// The value stays unset. The keyword's description says what that means.
     Unset,
-    /// It is an error.
+    /// The configuration is rejected.
     Required,
 }
 
-/// A keyword.
+/// Definition of a keyword.
 #[derive(Clone, Copy, Debug)]
 pub struct Keyword {
-    /// Its name.
+    /// Name in the file, unique within the section.
     pub name: &'static str,
-    /// What follows it.
+    /// Kind and range of its value.
     pub kind: Kind,
-    /// What holds without it.
+    /// What applies if it is not given.
     pub absent: Absent,
-    /// Where it goes, below its section's path.
+    /// Path of the value in the tree: below the section's path, or from the root if it starts with `/`.
     pub path: &'static str,
-    /// Whether SIGHUP heeds a change of it.
+    /// Whether a reload (SIGHUP) applies a change of the value.
     pub reloadable: bool,
-    /// What it means.
+    /// Description in the reference for operators.
     pub doc: &'static str,
 }
 
@@ -81,104 +82,134 @@
     Kind::Time { min, max }
 }
 
-/// All sections; the first holds the lines outside of all others.
+/// All sections. The first one holds the keywords outside of all others.
 pub const SECTIONS: &[Section] = &[
     Section {
         name: "",
         label: Label::None,
         path: "",
         overridden_by_platform: true,
-        doc: "Lines outside of all sections: who this dispatcher is, and where the others are.",
+        doc: "Keywords outside of all sections: the identity of this dispatcher, its addresses and the \
+             installation that it belongs to.",
         keywords: &[
-            keyword("name", Kind::Text, Default("rookspoke"), "name", "The dispatcher's name in logs and figures."),
-            keyword("listen", Kind::Address, Required, "listen", "Where clients connect. Port 0 takes a free one."),
+            keyword(
+                "name",
+                Kind::Text,
+                Default("rookspoke"),
+                "name",
+                "The dispatcher's name in logs and metrics.",
+            ),
+            keyword(
+                "listen",
+                Kind::Address,
+                Required,
+                "listen",
+                "Address that clients connect to. Port 0 selects a free port.",
+            ),
             reloadable(keyword(
                 "discovery",
                 Kind::Address,
                 Unset,
                 "discovery",
-                "Where the list of log workers is asked for. Without it, the `worker` sections are the list.",
+                "Address of the discovery service that serves the list of log workers. Without it, the \
+                 `worker` sections are the list.",
             )),
             keyword(
                 "console",
                 Kind::Address,
                 Unset,
                 "console",
-                "Where operators ask: ready, figures, log workers out by hand. Without it there is no such place.",
+                "Address of the operators' console: readiness, metrics and manual ejection of log workers. \
+                 Without it, there is no console.",
             ),
             keyword(
                 "state",
                 Kind::Text,
                 Unset,
                 "state",
-                "The folder of what a restart must not forget: which log workers are out by hand. Without it, none \
-                 can be taken out.",
+                "Directory for state that must survive a restart: the manually ejected log workers. Without \
+                 it, log workers cannot be ejected manually.",
             ),
             keyword(
                 "accept-fd",
                 Kind::Count { min: 3, max: 1 << 20 },
                 Unset,
                 "accept_fd",
-                "An inherited descriptor that listens for clients in the place of `listen`.",
+                "Inherited descriptor of a listening socket that replaces `listen`.",
+            ),
+            keyword(
+                "seed",
+                Kind::Seed,
+                Unset,
+                "seed",
+                "Seed of the random number generator. Without it, each start draws a new one.",
             ),
-            keyword("seed", Kind::Seed, Unset, "seed", "For random numbers. Without it, another one each start."),
             keyword(
                 "sockets",
                 Kind::Count { min: 64, max: 1 << 20 },
                 Default("1024"),
                 "limits/sockets",
-                "The most descriptors that the process uses: half for clients, two fifths for log workers.",
+                "Maximum number of descriptors that the process uses: half for clients, two fifths for log \
+                 workers.",
+            ),
+            keyword("zone", Kind::Text, Default("here"), "settings/zone", "Zone of this dispatcher."),
+            keyword(
+                "zones",
+                Kind::Texts,
+                Unset,
+                "settings/localities",
+                "All zones of the installation. Without it, only `zone`.",
             ),
-            keyword("zone", Kind::Text, Default("here"), "settings/zone", "The zone that this dispatcher is in."),
-            keyword("zones", Kind::Texts, Unset, "settings/localities", "All zones. Without it, just `zone`."),
             keyword(
                 "kinds",
                 Kind::Texts,
                 Default("worker"),
                 "settings/machine_types",
-                "The kinds of machine that log workers run on.",
+                "Kinds of machine that log workers run on.",
             ),
             keyword(
                 "dispatchers",
                 Kind::Count { min: 1, max: 10_000 },
                 Default("1"),
                 "settings/balancers",
-                "How many dispatchers send to these log workers: each keeps to its part of a cold one.",
+                "Number of dispatchers that send to these log workers. They divide the capacity of a log \
+                 worker in slow start among them.",
             ),
             keyword(
                 "number",
                 Kind::Count { min: 0, max: 9_999 },
                 Default("0"),
                 "settings/me",
-                "This dispatcher's number among them, from 0.",
+                "Number of this dispatcher among all `dispatchers`, from 0.",
             ),
             keyword(
                 "tick",
                 time(0.1, 1_000.0),
                 Default("4ms"),
                 "settings/quantum_ms",
-                "Events are decided on together, no more often than this.",
+                "Minimum interval between two rounds of decisions; events that arrive in between are \
+                 decided on together.",
             ),
             keyword(
                 "over-share-worth",
                 FRACTION,
                 Default("1"),
                 "settings/over_share_worth",
-                "What a request beyond its tenant's share is worth, as a part of its class's worth.",
+                "Worth of a request beyond its tenant's share, as a fraction of its class's worth.",
             ),
             keyword(
                 "worth-by",
                 Kind::Choice(&[("request", "request"), ("work", "work")]),
                 Default("request"),
                 "settings/worth_by",
-                "What `worth` is counted for: each request, whatever its size, or each unit of its work.",
+                "What `worth` is counted for: each request regardless of its size, or each unit of its work.",
             ),
             keyword(
                 "cross-zone-price",
                 POSITIVE,
                 Default("0"),
                 "settings/prices/cross_zone",
-                "What sending a request to another zone costs, as a part of its worth.",
+                "Cost of sending a request to another zone, as a fraction of its worth.",
             ),
         ],
     },
@@ -187,7 +218,7 @@
         label: Label::Named("name"),
         path: "settings/classes",
         overridden_by_platform: true,
-        doc: "A class of requests. There is at least one.",
+        doc: "A class of requests. At least one is required.",
         keywords: &[
             keyword(
                 "effect",
@@ -198,40 +229,65 @@
                 ]),
                 Required,
                 "effect",
-                "How far a request may be repeated: at will; never once it may have run; or only where log \
-                 workers discard repeats (`group`, `window`).",
+                "Whether a request may be repeated: `safe` without limits; `once` only while it cannot have \
+                 run; `keyed` only where log workers discard repeats (`group`, `window`).",
+            ),
+            keyword(
+                "aim",
+                time(1.0, DAY),
+                Required,
+                "goal_time_ms",
+                "Latency goal: an answer within this time has its full worth.",
             ),
-            keyword("aim", time(1.0, DAY), Required, "goal_time_ms", "An answer within this time has its full worth."),
             keyword(
                 "deadline",
                 time(1.0, DAY),
                 Required,
                 "deadline_ms",
-                "How long clients wait, where they do not say so themselves.",
+                "How long clients wait for an answer if the request does not state its own deadline.",
             ),
             keyword(
                 "stretch",
                 Kind::Number { min: 0.0, max: 1000.0 },
                 Default("0"),
                 "aim_stretch",
-                "The aim grows by this times the request's own running time.",
+                "The aim is extended by this multiple of the request's own running time.",
+            ),
+            keyword(
+                "worth",
+                POSITIVE,
+                Default("1"),
+                "gain",
+                "Worth of an answer in time, relative to other classes.",
+            ),
+            keyword(
+                "late-worth",
+                FRACTION,
+                Default("0"),
+                "late_worth",
+                "Fraction of the worth that an answer keeps after the aim has passed.",
+            ),
+            keyword(
+                "kind",
+                Kind::Text,
+                Unset,
+                "kind",
+                "The only kind of machine that runs this class. Without it, any kind does.",
             ),
-            keyword("worth", POSITIVE, Default("1"), "gain", "What an answer in time is worth, against other classes."),
-            keyword("late-worth", FRACTION, Default("0"), "late_worth", "The part of the worth that is left after the aim."),
-            keyword("kind", Kind::Text, Unset, "kind", "The only kind of machine that runs it. Without it, any."),
             keyword(
                 "group",
                 Kind::Choice(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]),
                 Default("all"),
                 "group",
-                "With effect `keyed`: which log workers discard a repeat.",
+                "With effect `keyed`: which log workers discard a repeat of a request that one of them has \
+                 received.",
             ),
             keyword(
                 "window",
                 time(0.0, DAY),
                 Default("5s"),
                 "dedup_window_ms",
-                "With effect `keyed`: for how long after the first send.",
+                "With effect `keyed`: how long after the first send repeats are discarded.",
             ),
         ],
     },
@@ -240,13 +296,13 @@
         label: Label::Named("name"),
         path: "settings/projects",
         overridden_by_platform: true,
-        doc: "A tenant, and its share of the service.",
+        doc: "A tenant and its share of the service.",
         keywords: &[keyword(
             "allowance",
             Kind::Rate,
             Required,
             "allowance_per_s",
-            "Requests within its share, over all dispatchers.",
+            "Rate of requests within the tenant's share, summed over all dispatchers.",
         )],
     },
     Section {
@@ -255,25 +311,49 @@
         path: "known/targets",
         overridden_by_platform: true,
         doc: "A log worker of a fixed list, for installations without discovery. With `discovery`, the list \
-              that holds until discovery has answered.",
+             is used until discovery has answered.",
         keywords: &[
-            reloadable(keyword("address", Kind::Address, Required, "endpoint", "Where it listens.")),
-            reloadable(keyword("zone", Kind::Text, Unset, "az", "The zone that it is in. Without it, the dispatcher's.")),
-            reloadable(keyword("kind", Kind::Text, Unset, "model", "Its kind of machine. Without it, the first of `kinds`.")),
+            reloadable(keyword(
+                "address",
+                Kind::Address,
+                Required,
+                "endpoint",
+                "Address that the log worker listens on.",
+            )),
+            reloadable(keyword(
+                "zone",
+                Kind::Text,
+                Unset,
+                "az",
+                "Zone of the log worker. Without it, the dispatcher's zone.",
+            )),
+            reloadable(keyword(
+                "kind",
+                Kind::Text,
+                Unset,
+                "model",
+                "Kind of machine of the log worker. Without it, the first of `kinds`.",
+            )),
             reloadable(keyword(
                 "cell",
                 Kind::Count { min: 0, max: u64::MAX },
                 Unset,
                 "pod_group",
-                "Its cell: a group that shares which keys it has seen.",
+                "Rack of the log worker: a group of log workers that shares which keys it has received.",
+            )),
+            reloadable(keyword(
+                "weight",
+                POSITIVE,
+                Default("1"),
+                "capacity_hint",
+                "Capacity relative to other log workers.",
             )),
-            reloadable(keyword("weight", POSITIVE, Default("1"), "capacity_hint", "Its size against other log workers.")),
             reloadable(keyword(
                 "state",
                 Kind::Choice(&[("active", "active"), ("draining", "leaving")]),
                 Default("active"),
                 "state",
-                "A draining one finishes what it has and gets nothing new.",
+                "A draining log worker finishes the jobs that it has and gets no new ones.",
             )),
         ],
     },
@@ -282,45 +362,58 @@
         label: Label::None,
         path: "settings/limits",
         overridden_by_platform: true,
-        doc: "What the installation lets a dispatcher do.",
+        doc: "What the installation allows a dispatcher to do.",
         keywords: &[
             keyword(
                 "attempts",
                 Kind::Count { min: 1, max: 100 },
                 Default("6"),
                 "send_cap",
-                "The most call attempts for a request.",
+                "Maximum number of call attempts for a request.",
+            ),
+            keyword("cancel", Kind::Switch, DEFAULT_ON, "cancel", "Whether call attempts may be cancelled."),
+            keyword(
+                "probes",
+                Kind::Switch,
+                Default("off"),
+                "probes",
+                "Whether log workers may be probed for their load (`GET /stats`).",
             ),
-            keyword("cancel", Kind::Switch, DEFAULT_ON, "cancel", "Attempts may be called off."),
-            keyword("probes", Kind::Switch, Default("off"), "probes", "Log workers may be asked for their load (`GET /stats`)."),
             keyword(
                 "second-copies",
                 Kind::Switch,
                 DEFAULT_ON,
                 "second_copies",
-                "A second copy of a safe request may be sent while the first is out.",
+                "Whether a safe request may be hedged: sent a second time while the first attempt has no \
+                 answer yet.",
+            ),
+            keyword(
+                "retry-after",
+                Kind::Switch,
+                DEFAULT_ON,
+                "retry_after",
+                "Whether a refusal tells the client when to retry (`retry-after`).",
             ),
-            keyword("retry-after", Kind::Switch, DEFAULT_ON, "retry_after", "Refused clients are told when to come back."),
             keyword(
                 "max-retry-after",
                 time(0.0, DAY),
                 Default("2s"),
                 "max_retry_after_ms",
-                "The longest time that they are told.",
+                "Maximum time in `retry-after`.",
             ),
             keyword(
                 "connection-idle",
                 time(1.0, DAY),
                 Default("15s"),
                 "conn_idle_ms",
-                "How long log workers leave an idle connection open: ours are closed sooner.",
+                "How long log workers keep an idle connection open; the dispatcher closes its own earlier.",
             ),
             keyword(
                 "connect-timeout",
                 time(1.0, 60_000.0),
                 Default("250ms"),
                 "connect_timeout_ms",
-                "How long a connection may take to come up.",
+                "Maximum time to establish a connection.",
             ),
         ],
     },
@@ -329,45 +422,58 @@
         label: Label::None,
         path: "settings/rules",
         overridden_by_platform: true,
-        doc: "The figures of the rules that are always kept.",
+        doc: "Parameters of the rules that a dispatcher always keeps.",
         keywords: &[
             keyword(
                 "answer-slack",
                 time(0.0, 60_000.0),
                 Default("16ms"),
                 "answer_slack_ms",
-                "How long past the deadline a final answer still counts.",
+                "How long after the deadline a final answer still counts.",
             ),
             keyword(
                 "ask-every",
                 time(1.0, DAY),
                 Default("10s"),
                 "ask_every_ms",
-                "How long a dispatcher may go without asking discovery.",
+                "Maximum time between two requests to discovery.",
             ),
             keyword(
                 "drain-grace",
                 time(0.0, 60_000.0),
                 Default("500ms"),
                 "stop_sending_within_ms",
-                "New work to a draining log worker stops within this time.",
+                "Time within which a draining log worker stops receiving new work.",
             ),
             keyword(
                 "cold-from",
                 FRACTION,
                 Default("0.13"),
                 "cold_from",
-                "The part of its capacity that a log worker starts with, at the least.",
+                "Minimum fraction of its capacity that a log worker has at the beginning of slow start.",
+            ),
+            keyword(
+                "ramp",
+                time(0.0, DAY),
+                Default("23s"),
+                "ramp_time_ms",
+                "Maximum duration of slow start.",
             ),
-            keyword("ramp", time(0.0, DAY), Default("23s"), "ramp_time_ms", "When it is warm, at the latest."),
             keyword(
                 "fall-multiple",
                 Kind::Number { min: 0.01, max: 1000.0 },
                 Default("3"),
                 "fall_multiple",
-                "Sent more than this times its present capacity, a cold log worker falls over",
+                "A log worker in slow start is overloaded if it is sent more than this multiple of its \
+                 current capacity within `fall-span`.",
+            ),
+            keyword(
+                "fall-span",
+                time(0.0, DAY),
+                Default("3s"),
+                "overload_for_ms",
+                "Period over which `fall-multiple` counts.",
             ),
-            keyword("fall-span", time(0.0, DAY), Default("3s"), "overload_for_ms", "within this time."),
         ],
     },
     Section {
@@ -375,51 +481,51 @@
         label: Label::None,
         path: "settings/reporting",
         overridden_by_platform: true,
-        doc: "The load reports of log workers.",
+        doc: "Load reports of log workers.",
         keywords: &[
             keyword(
                 "how",
                 Kind::Choice(&[("answers", "answers"), ("probes", "probe"), ("none", "none")]),
                 Default("none"),
                 "how",
-                "Where they come from: with answers, with probes alone, or nowhere.",
+                "How load reports arrive: with answers, with probes only, or not at all.",
             ),
             keyword(
                 "fields",
                 Kind::Texts,
                 Unset,
                 "fields",
-                "Their fields, by the names `busy_reqs`, `pending`, `cpu_share`, `failed_ps`, `served_ps`, `x0`, \
-                 `x1`; others are skipped.",
+                "Fields of a load report. Known names are `busy_reqs`, `pending`, `cpu_share`, \
+                 `failed_ps`, `served_ps`, `x0`, `x1`; fields with other names are skipped.",
             ),
             keyword(
                 "x0",
                 Kind::Choice(&[("free-slots", "free_slots"), ("free-memory", "free_memory")]),
                 Default("free-slots"),
                 "/settings/specifics/report_x0",
-                "What the field `x0` means.",
+                "Meaning of the field `x0`.",
             ),
             keyword(
                 "x1",
                 Kind::Choice(&[("free-slots", "free_slots"), ("free-memory", "free_memory")]),
                 Default("free-memory"),
                 "/settings/specifics/report_x1",
-                "What the field `x1` means.",
+                "Meaning of the field `x1`.",
             ),
             keyword(
                 "starts",
                 Kind::Switch,
                 DEFAULT_ON,
                 "/settings/specifics/tells_start",
-                "Log workers tell when a job starts.",
+                "Whether log workers report the start of a job.",
             ),
             keyword(
                 "progress",
                 time(0.0, DAY),
                 Default("0ms"),
                 "/settings/specifics/progress_ms",
-                "How often log workers tell how far a job is that they run; 0ms: never. One that says nothing for \
-                 twice as long has its job called off.",
+                "How often log workers report the progress of a running job; `0ms` for never. A job without \
+                 a report for twice this time is cancelled.",
             ),
         ],
     },
@@ -428,15 +534,22 @@
         label: Label::None,
         path: "faktory",
         overridden_by_platform: false,
-        doc: "The Faktory front. Without this section it is off.",
+        doc: "The Faktory front. Without this section, it is off.",
         keywords: &[
-            keyword("listen", Kind::Address, Required, "listen", "Where producers and consumers connect."),
+            keyword(
+                "listen",
+                Kind::Address,
+                Required,
+                "listen",
+                "Address that producers and consumers connect to.",
+            ),
             keyword(
                 "connections",
                 Kind::Count { min: 1, max: 1 << 20 },
                 Default("256"),
                 "max_connections",
-                "The most connections of both together. They come out of `sockets`.",
+                "Maximum number of connections of producers and consumers together. They count towards \
+                 `sockets`.",
             ),
             keyword(
                 "claim",
@@ -450,7 +563,8 @@
                 time(1.0, DAY),
                 Default("2s"),
                 "reconnect_ms",
-                "How long a consumer that lost its last connection may stay away before what it held counts as lost.",
+                "How long a consumer that lost its last connection may take to reconnect before its jobs \
+                 count as lost.",
             ),
         ],
     },
@@ -459,28 +573,53 @@
         label: Label::None,
         path: "faktory/vrrp",
         overridden_by_platform: false,
-        doc: "A pair of daemons with the Faktory front: the master takes and hands out new work, the backup only \
-              hears how its own ended. Needs the section `faktory`.",
+        doc:
+            "A pair of daemons with the Faktory front: the master accepts and hands out new jobs, the backup \
+              only accepts the outcomes of the jobs that it handed out. Requires the section `faktory`.",
         keywords: &[
-            keyword("listen", Kind::Address, Required, "listen", "This daemon's own IPv4 address and UDP port."),
-            keyword("peers", Kind::PeerAddresses, Required, "peers", "The other daemons'."),
-            keyword("router", Kind::Count { min: 1, max: 255 }, Required, "vrid", "The number of the virtual router."),
+            keyword("listen", Kind::Address, Required, "listen", "IPv4 address and UDP port of this daemon."),
+            keyword(
+                "peers",
+                Kind::PeerAddresses,
+                Required,
+                "peers",
+                "IPv4 addresses and UDP ports of the other daemons.",
+            ),
+            keyword(
+                "router",
+                Kind::Count { min: 1, max: 255 },
+                Required,
+                "vrid",
+                "Number of the virtual router (VRID).",
+            ),
             keyword(
                 "priority",
                 Kind::Count { min: 1, max: 255 },
                 Default("100"),
                 "priority",
-                "1 to 254; 255 is for the owner of the addresses.",
+                "Priority in the election of the master: 1 to 254; 255 is for the owner of the addresses.",
             ),
             keyword(
                 "interval",
                 Kind::Centiseconds { max: 4095 },
                 Default("1s"),
                 "interval_cs",
-                "How often the master advertises.",
+                "Interval between the advertisements of the master.",
+            ),
+            keyword(
+                "preempt",
+                Kind::Switch,
+                DEFAULT_ON,
+                "preempt",
+                "Whether to take over from a master of lower priority.",
+            ),
+            keyword(
+                "addresses",
+                Kind::Ipv4s,
+                Required,
+                "addresses",
+                "Virtual addresses, the same on every daemon.",
             ),
-            keyword("preempt", Kind::Switch, DEFAULT_ON, "preempt", "Whether to take over from a master of lower priority."),
-            keyword("addresses", Kind::Ipv4s, Required, "addresses", "The virtual addresses, the same on every daemon."),
         ],
     },
     Section {
@@ -488,38 +627,38 @@
         label: Label::None,
         path: "log",
         overridden_by_platform: false,
-        doc: "What is written to standard error.",
+        doc: "The log, which is written to standard error.",
         keywords: &[
             keyword(
                 "format",
                 Kind::Choice(&[("text", "text"), ("json", "json")]),
                 Default("text"),
                 "format",
-                "Lines for people, or one JSON object a line.",
+                "Plain text, or one JSON object per line.",
             ),
             reloadable(keyword(
                 "level",
                 Kind::Text,
                 Default("info"),
                 "level",
-                "`error`, `warn`, `info`, `debug`, `trace`, or directives for each part, such as \
-                 `info,rookspoke_channel=debug`. ROOKSPOKE_LOG goes before it.",
+                "`error`, `warn`, `info`, `debug`, `trace`, or directives per module, such as \
+                 `info,rookspoke_channel=debug`. ROOKSPOKE_LOG takes precedence.",
             )),
             keyword(
                 "repeats",
                 Kind::Count { min: 1, max: 1_000_000 },
                 Default("20"),
                 "repeats",
-                "The most lines a second from one place in the program, at the levels from `info` up. What is \
-                 left out is counted.",
+                "Maximum number of lines per second from one place in the program, at the levels `info`, \
+                 `warn` and `error`. Suppressed lines are counted.",
             ),
             keyword(
                 "queue",
                 Kind::Count { min: 1, max: 1_000_000 },
                 Default("4096"),
                 "queue",
-                "Lines that wait to be written. Beyond it they are dropped and counted: a log that nobody reads \
-                 holds up nothing.",
+                "Maximum number of lines that wait to be written. Further lines are dropped and counted, so \
+                 that a log that nobody reads does not block the daemon.",
             ),
         ],
     },
@@ -528,33 +667,34 @@
         label: Label::None,
         path: "control",
         overridden_by_platform: false,
-        doc: "The socket that `rookspoke status` asks. Without this section there is none.",
+        doc: "The control socket that `rookspoke status` queries. Without this section, there is none.",
         keywords: &[keyword(
             "path",
             Kind::Text,
             Required,
             "path",
-            "A Unix socket, readable for its owner alone. One that a dead daemon left is replaced.",
+            "Path of the Unix socket, which only its owner can access. A socket left by a daemon that has \
+             exited is replaced.",
         )],
     },
 ];
 
-/// The section of this name.
+/// Looks up a section by its name.
 pub fn section(name: &str) -> Option<&'static Section> {
     SECTIONS.iter().find(|section| section.name == name)
 }
 
 impl Section {
-    /// The keyword of this name.
+    /// Looks up one of the section's keywords by its name.
     pub fn keyword(&self, name: &str) -> Option<&'static Keyword> {
         self.keywords.iter().find(|keyword| keyword.name == name)
     }
 
-    /// The path of a keyword: a JSON pointer (RFC 6901). `item` is the place in the list of a section that may
-    /// come often.
+    /// JSON pointer (RFC 6901) of a keyword's value. `item` is the index of the instance in a section that is a
+    /// list.
     pub fn pointer(&self, item: Option<usize>, path: &str) -> String {
         match (path.strip_prefix('/'), item) {
-            // It leads from the root.
+            // Relative to the root, not to the section.
             (Some(path), _) => format!("/{path}"),
             (None, Some(item)) => format!("/{}/{item}/{path}", self.path),
             (None, None) if self.path.is_empty() => format!("/{path}"),
@@ -563,7 +703,7 @@
     }
 }
 
-/// The table as a page in Markdown, for `docs/configuration.md`.
+/// The table in Markdown, as it is included in `docs/configuration.md`.
 pub fn markdown() -> String {
     let mut text = String::new();
     for section in SECTIONS {
--- a/crates/conf/src/source.rs
+++ b/crates/conf/src/source.rs
@@ -1,4 +1,4 @@
-//! The files that a configuration is read from, and places in them.
+//! Source texts of a configuration, and locations in them.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -7,39 +7,39 @@
 
 use thiserror::Error;
 
-/// The most that one file may hold, in bytes: what is larger is no configuration.
+/// Maximum size of a configuration file in bytes. A larger file is something else.
 pub const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
 /// Why a file could not be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The system says so.
+    /// The operating system reported an error.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// It is something else.
+    /// The path leads to a directory, pipe, socket or device.
     #[error("found {0}, expected a file")]
     NotAFile(&'static str),
-    /// It is too long.
+    /// The file is larger than allowed.
     #[error("found {found} bytes, expected at most {max}")]
     TooLarge {
-        /// Its length in bytes, as far as it is known.
+        /// Size in bytes. If the file grew while it was read, the number of bytes read, which is above `max`.
         found: u64,
-        /// The most that is read, in bytes.
+        /// Maximum size in bytes.
         max: u64,
     },
-    /// It is no text.
+    /// The file is not valid UTF-8.
     #[error("found a byte that is not UTF-8 in line {line}, expected text")]
     NotUtf8 {
-        /// The line, from 1.
+        /// Line of the first invalid byte, from 1.
         line: usize,
     },
 }
 
-/// Reads a file of at most `most` bytes. Pipes, devices and folders are turned down before they are opened: an
-/// open or a read of them might never return.
+/// Reads a text file of at most `max` bytes. Pipes, sockets, devices and directories are rejected before they
+/// are opened, since opening or reading them might block forever.
 ///
 /// # Errors
-/// [`ReadError`] says what stands in the way.
+/// [`ReadError`] says why the file cannot be read.
 pub fn read_bounded(path: &Path, max: u64) -> Result<String, ReadError> {
     let meta = fs::metadata(path)?;
     if meta.is_dir() {
@@ -52,7 +52,7 @@
         return Err(ReadError::TooLarge { found: meta.len(), max });
     }
     let mut bytes = Vec::new();
-    // It may have grown since.
+    // The file may have grown since its size was checked.
     File::open(path)?.take(max + 1).read_to_end(&mut bytes)?;
     if bytes.len() as u64 > max {
         return Err(ReadError::TooLarge { found: bytes.len() as u64, max });
@@ -63,40 +63,40 @@
     })
 }
 
-/// A part of a text.
+/// A range of bytes in one of the [`Sources`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Span {
-    /// The number of the text in its [`Sources`].
+    /// Index of the text in its [`Sources`].
     pub file: usize,
-    /// Its first byte.
+    /// Offset of the first byte.
     pub start: usize,
-    /// The byte after its last.
+    /// Offset after the last byte.
     pub end: usize,
 }
 
-/// One text, and what it is called in errors.
+/// A source text and its name in error messages.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// The path as it was given, or what else the text came from.
+    /// The path as it was given, or a description of another source, such as a flag.
     pub name: String,
-    /// Where includes in it start from.
+    /// Directory that relative includes in this text refer to.
     pub folder: PathBuf,
-    /// The text.
+    /// Contents of the file.
     pub text: String,
 }
 
-/// All texts of a configuration.
+/// All source texts of a configuration. A [`Span`] refers to one of them by its index.
 #[derive(Clone, Debug, Default)]
 pub struct Sources(Vec<Source>);
 
-/// A place as people count.
+/// A location for error messages: file, line and column.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The text's name.
+    /// Name of the source text.
     pub file: String,
-    /// From 1.
+    /// Line, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
 }
 
@@ -107,7 +107,7 @@
 }
 
 impl Sources {
-    /// Adds a file.
+    /// Reads a file of at most [`MAX_FILE_BYTES`], adds it and returns its index.
     ///
     /// # Errors
     /// As [`read_bounded`].
@@ -117,7 +117,8 @@
         Ok(self.add(Source { name: path.display().to_string(), folder, text }))
     }
 
-    /// Adds a text that is no file: a value from the command line or the environment.
+    /// Adds a text that is not a file, such as a value from the command line or the environment, and returns
+    /// its index.
     pub fn add_text(&mut self, name: &str, text: &str) -> usize {
         self.add(Source { name: name.into(), folder: PathBuf::new(), text: text.into() })
     }
@@ -127,22 +128,22 @@
         self.0.len() - 1
     }
 
-    /// One of them.
+    /// The source text with this index.
     pub fn get(&self, file: usize) -> &Source {
         &self.0[file]
     }
 
-    /// How many there are.
+    /// Number of source texts.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is none.
+    /// Whether no source text has been added.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Where a part begins.
+    /// Location of the start of a span.
     pub fn location(&self, span: Span) -> Location {
         let source = self.get(span.file);
         let before = &source.text[..span.start.min(source.text.len())];
--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,4 +1,4 @@
-//! Kinds of values: how they are written, what they become, and how they are shown again.
+//! Kinds of values: parsing from words of a file, conversion to JSON, and formatting for output.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -7,59 +7,59 @@
 use crate::problem::Problem;
 use crate::syntax::Word;
 
-/// What a keyword's value may be. Bounds are part of the kind, and hold on both ends.
+/// Type and range of a keyword's value. Ranges include both bounds.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// A time, with its unit; kept in milliseconds.
+    /// A time with its unit, stored in milliseconds.
     Time {
-        /// The least, in milliseconds.
+        /// Lower bound, in milliseconds.
         min: f64,
-        /// The most, in milliseconds.
+        /// Upper bound, in milliseconds.
         max: f64,
     },
-    /// A time in steps of 10 ms; kept in hundredths of a second, as VRRP counts.
+    /// A time in steps of 10 ms, stored in centiseconds, the unit of VRRP.
     Centiseconds {
-        /// The most, in hundredths of a second.
+        /// Upper bound, in centiseconds. The lower one is 1.
         max: u64,
     },
-    /// A number of bytes, with or without a unit.
+    /// A number of bytes, with or without a unit, stored in bytes.
     Size {
-        /// The least, in bytes.
+        /// Lower bound, in bytes.
         min: u64,
-        /// The most, in bytes.
+        /// Upper bound, in bytes.
         max: u64,
     },
     /// A whole number.
     Count {
-        /// The least.
+        /// Lower bound.
         min: u64,
-        /// The most.
+        /// Upper bound; `u64::MAX` for none.
         max: u64,
     },
-    /// Any number.
+    /// A decimal number.
     Number {
-        /// The least.
+        /// Lower bound.
         min: f64,
-        /// The most.
+        /// Upper bound; `f64::MAX` for none.
         max: f64,
     },
-    /// So many in a time; kept as a number for each second.
+    /// A number per unit of time, such as `300/min`, stored per second.
     Rate,
-    /// On or off.
+    /// A boolean, written `on` or `off`.
     Switch,
-    /// One of a few words, next to what each becomes.
+    /// One of a set of words. Each pair is the word in the file and the value in the tree.
     Choice(&'static [(&'static str, &'static str)]),
-    /// A word, or any text in quotes.
+    /// A word, or any text in quotes; not empty.
     Text,
-    /// One or more of them.
+    /// One or more texts, as in [`Kind::Text`].
     Texts,
-    /// An address with a port.
+    /// An IP address with a port.
     Address,
-    /// An IPv4 address with a port, one or more.
+    /// One or more IPv4 addresses, each with a port.
     PeerAddresses,
-    /// IPv4 addresses, one or more.
+    /// One or more IPv4 addresses.
     Ipv4s,
-    /// Sixteen hexadecimal digits.
+    /// A seed of 64 bits, written as 16 hexadecimal digits.
     Seed,
 }
 
@@ -70,7 +70,7 @@
 const RATES: [(&str, f64); 3] = [("s", 1.0), ("min", 60.0), ("h", 3600.0)];
 
 impl Kind {
-    /// What is expected, in words: for errors and for the page.
+    /// Describes valid values, for error messages and for the reference.
     pub fn expected(&self) -> String {
         match *self {
             Kind::Time { min, max } => {
@@ -82,9 +82,9 @@
             Kind::Size { min, max } => {
                 format!("a size from {} to {}, such as `64KiB`", format_bytes(min), format_bytes(max))
             }
-            Kind::Count { min, max: u64::MAX } => format!("a whole number from {min} on"),
+            Kind::Count { min, max: u64::MAX } => format!("a whole number of at least {min}"),
             Kind::Count { min, max } => format!("a whole number from {min} to {max}"),
-            Kind::Number { min, max } if max == f64::MAX => format!("a number from {min} on"),
+            Kind::Number { min, max } if max == f64::MAX => format!("a number of at least {min}"),
             Kind::Number { min, max } => format!("a number from {min} to {max}"),
             Kind::Rate => "a rate, such as `5/s`".into(),
             Kind::Switch => "`on` or `off`".into(),
@@ -92,7 +92,7 @@
                 let words: Vec<String> = words.iter().map(|(word, _)| format!("`{word}`")).collect();
                 format!("one of {}", words.join(", "))
             }
-            Kind::Text => "a word, or a text in quotes".into(),
+            Kind::Text => "a word or a quoted text".into(),
             Kind::Texts => "one or more words".into(),
             Kind::Address => "an address with a port, such as `127.0.0.1:3000`".into(),
             Kind::PeerAddresses => "one or more IPv4 addresses with a port".into(),
@@ -101,15 +101,15 @@
         }
     }
 
-    /// Whether more than one word may follow the keyword.
+    /// Whether several values may follow the keyword.
     fn is_list(&self) -> bool {
         matches!(self, Kind::Texts | Kind::PeerAddresses | Kind::Ipv4s)
     }
 
-    /// Reads the words that follow a keyword.
+    /// Parses the words that follow a keyword and converts them to the value that is stored in the tree.
     ///
     /// # Errors
-    /// Says what was found and what is expected, at the word that is wrong.
+    /// The first invalid word, with what was found and what was expected.
     pub fn parse(&self, keyword: &Word, args: &[Word]) -> Result<Value, Problem> {
         let Some(first) = args.first() else {
             let text = format!("`{}` has no value, expected {}", keyword.text, self.expected());
@@ -126,6 +126,7 @@
         self.parse_word(first)
     }
 
+    /// Parses one value.
     fn parse_word(&self, word: &Word) -> Result<Value, Problem> {
         let text = word.text.as_str();
         let value = match *self {
@@ -181,7 +182,7 @@
         })
     }
 
-    /// How a value is written in a file.
+    /// Formats a stored value as it is written in a file.
     pub fn format(&self, value: &Value) -> String {
         match (self, value) {
             (_, Value::Array(values)) => {
@@ -209,13 +210,13 @@
     }
 }
 
-/// Text in quotes, as the grammar reads it.
+/// Quotes and escapes a text as [`crate::parse`] reads it.
 fn quote(text: &str) -> String {
     let escaped = text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n").replace('\t', "\\t");
     format!("\"{escaped}\"")
 }
 
-/// Whole numbers stay whole: readers of counts turn a fraction down.
+/// Converts a number to JSON, as an integer if it is whole: deserialization of a count rejects `4.0`.
 fn json_number(value: f64) -> Value {
     match value.fract() == 0.0 && value.abs() < 9e15 && value >= 0.0 {
         true => json!(value as u64),
@@ -223,6 +224,7 @@
     }
 }
 
+/// Splits a text such as `1.5s` into its number and the factor of its unit.
 fn split_unit(text: &str, units: &[(&str, f64)]) -> Option<(f64, f64)> {
     let at = text.find(|c: char| c.is_ascii_alphabetic())?;
     let unit = units.iter().find(|(name, _)| *name == &text[at..])?.1;
@@ -240,6 +242,7 @@
     text[..at].parse::<u64>().ok()?.checked_mul(unit)
 }
 
+/// Formats a time in the largest unit in which it is a whole number.
 fn format_ms(ms: f64) -> String {
     let unit = TIMES.iter().rev().find(|(_, unit)| ms >= *unit && (ms / unit).fract() == 0.0);
     match unit {
@@ -248,10 +251,13 @@
     }
 }
 
+/// Formats a size in the largest binary unit in which it is a whole number.
 fn format_bytes(bytes: u64) -> String {
-    let binary = |name: &str| name.len() != 2;
-    let unit =
-        SIZES.iter().rev().find(|(name, unit)| binary(name) && bytes >= *unit && bytes.is_multiple_of(*unit));
+    let is_binary = |name: &str| name.len() != 2;
+    let unit = SIZES
+        .iter()
+        .rev()
+        .find(|(name, unit)| is_binary(name) && bytes >= *unit && bytes.is_multiple_of(*unit));
     unit.map_or_else(|| format!("{bytes}B"), |(name, unit)| format!("{}{name}", bytes / unit))
 }
 
@@ -268,20 +274,20 @@
         kind.parse(&word("k"), &[word(text)]).map_err(|problem| problem.message)
     }
 
-    const ANY: Kind = Kind::Time { min: 0.0, max: 3.6e6 };
+    const ANY_TIME: Kind = Kind::Time { min: 0.0, max: 3.6e6 };
 
     #[test]
-    fn times_have_units() {
-        assert_eq!(read(ANY, "250ms"), Ok(json!(250)));
-        assert_eq!(read(ANY, "1.5s"), Ok(json!(1500)));
-        assert_eq!(read(ANY, "50us"), Ok(json!(0.05)));
+    fn a_time_requires_a_unit() {
+        assert_eq!(read(ANY_TIME, "250ms"), Ok(json!(250)));
+        assert_eq!(read(ANY_TIME, "1.5s"), Ok(json!(1500)));
+        assert_eq!(read(ANY_TIME, "50us"), Ok(json!(0.05)));
         for bad in ["250", "ms", "-1s", "1e3ms", "2h", "1 s", "NaNms", "infs", "1.2.3s"] {
-            assert!(read(ANY, bad).is_err(), "{bad}");
+            assert!(read(ANY_TIME, bad).is_err(), "{bad}");
         }
     }
 
     #[test]
-    fn sizes_are_whole_and_do_not_wrap() {
+    fn a_size_is_a_whole_number_that_does_not_overflow() {
         let any = Kind::Size { min: 1, max: u64::MAX };
         assert_eq!(read(any, "64KiB"), Ok(json!(65536)));
         assert_eq!(read(any, "512"), Ok(json!(512)));
@@ -291,7 +297,7 @@
     }
 
     #[test]
-    fn bounds_hold_on_both_ends() {
+    fn ranges_include_both_bounds() {
         let kind = Kind::Count { min: 2, max: 4 };
         let found: Vec<bool> = ["1", "2", "4", "5"].iter().map(|n| read(kind, n).is_ok()).collect();
         assert_eq!(found, [false, true, true, false]);
@@ -300,15 +306,20 @@
 
     proptest::proptest! {
         #[test]
-        fn what_is_shown_reads_back(ms in 0u32..3_600_000, text in ".{1,20}", bytes in 1u64..1 << 40) {
+        fn a_formatted_value_parses_to_the_same_value(
+            ms in 0u32..3_600_000,
+            text in ".{1,20}",
+            bytes in 1u64..1 << 40,
+        ) {
             let time = json!(ms);
-            proptest::prop_assert_eq!(read(ANY, &ANY.format(&time)), Ok(time));
+            proptest::prop_assert_eq!(read(ANY_TIME, &ANY_TIME.format(&time)), Ok(time));
             let sizes = Kind::Size { min: 1, max: 1 << 40 };
             proptest::prop_assert_eq!(read(sizes, &sizes.format(&json!(bytes))), Ok(json!(bytes)));
             let line = format!("k {}", Kind::Text.format(&json!(text)));
-            // A text may hold characters that end a line for people only.
             let mut problems = Vec::new();
             let lines = crate::syntax::parse(0, &line, &mut problems);
+            // The grammar does not accept a carriage return inside quotes. Other Unicode line separators are
+            // ordinary characters.
             if !text.contains('\r') {
                 proptest::prop_assert_eq!(&lines[0].args[0].text, &text);
             }
--- a/crates/conf/tests/conf.rs
+++ b/crates/conf/tests/conf.rs
@@ -1,4 +1,4 @@
-//! Files as operators write them, right and wrong.
+//! Reads valid and invalid configuration files and checks the resulting settings and error messages.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -18,14 +18,15 @@
 }
 ";
 
+/// Configuration files in a temporary directory; `main.conf` is the one that is read.
 struct Files(TempDir);
 
 impl Files {
     fn new(files: &[(&str, &str)]) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a directory");
         for (name, text) in files {
             let path = folder.path().join(name);
-            fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+            fs::create_dir_all(path.parent().expect("a directory")).expect("a directory");
             fs::write(path, text).expect("a file");
         }
         Files(folder)
@@ -38,7 +39,7 @@
     fn read(&self, overrides: Vec<Override>) -> Result<Resolved, String> {
         let path = self.path();
         let result = compile(Input { file: Some(&path), platform: None, overrides });
-        // What the folder is called is no matter.
+        // Snapshots must not depend on the name of the temporary directory.
         let folder = format!("{}/", self.0.path().display());
         result.map_err(|problems| problems.render().replace(&folder, ""))
     }
@@ -49,7 +50,7 @@
 }
 
 fn errors(text: &str) -> String {
-    // The first line of each problem; the picture beneath it is the library's.
+    // The message of each error, without the source excerpt that `miette` renders below it.
     let rendered = read(text).expect_err("an error");
     let firsts =
         rendered.lines().filter(|line| line.starts_with("main.conf:") || line.starts_with("configuration:"));
@@ -57,13 +58,13 @@
 }
 
 #[test]
-fn a_small_file_says_all_that_the_platforms_json_says() {
+fn a_small_file_yields_the_complete_settings_tree() {
     let resolved = read(SMALL).expect("a configuration");
     insta::assert_snapshot!(serde_json::to_string_pretty(&resolved.tree).expect("JSON"));
 }
 
 #[test]
-fn each_value_knows_where_it_came_from() {
+fn each_value_has_its_origin() {
     let files = Files::new(&[("main.conf", SMALL)]);
     let over = |key: &str, text: &str, origin| Override { key: key.into(), value: text.into(), origin };
     let overrides = vec![
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_told_with_place_found_and_expected() {
+fn errors_say_where_what_was_found_and_what_was_expected() {
     insta::assert_snapshot!(errors(
         "lisen 127.0.0.1:3000\nlisten 3000\nsockets 7\nzone a b\nname\nname \"x\ny\\\nclass a {\n effect twice\n aim 500\n \
          deadline 10s extra\n drain-grace 1s\n}\nrules { cold-from 1\n}\nworkr x {\n}\n}\nfaktory\n"
@@ -91,25 +92,25 @@
 }
 
 #[test]
-fn what_only_several_lines_tell_is_checked() {
+fn values_that_depend_on_each_other_are_checked() {
     insta::assert_snapshot!(errors("listen 127.0.0.1:1\n"));
     let more = format!("{SMALL}zones a b\nnumber 3\nvrrp {{\n listen 127.0.0.1:1\n peers 127.0.0.2:1\n router 1\n addresses 192.0.2.1\n}}\nfaktory {{\n listen 127.0.0.1:0\n}}\n");
     insta::assert_snapshot!(errors(&more));
 }
 
 #[test]
-fn a_section_or_keyword_that_comes_twice_names_the_first() {
+fn a_repeated_section_or_keyword_is_reported_with_the_first() {
     insta::assert_snapshot!(errors(&format!("{SMALL}name a\nname b\nclass look-up {{\n}}\n")));
 }
 
 #[test]
-fn a_section_that_is_never_closed_is_told_where_it_opened() {
+fn an_unclosed_section_is_reported_at_its_first_line() {
     insta::assert_snapshot!(errors("name a\nclass x {\n aim 1s\n"));
 }
 
-/// The line is named with its own file, not with the one that includes it.
+/// The error is reported at the line of the included file, not at the line of the include.
 #[test]
-fn a_bad_line_in_an_included_file() {
+fn an_error_in_an_included_file_names_that_file() {
     let main = format!("{SMALL}include conf.d/*.conf\n");
     let files = [
         ("main.conf", main.as_str()),
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn includes_end() {
+fn include_cycles_missing_files_and_deep_nesting_are_rejected() {
     let text = format!("{SMALL}include main.conf\n");
     assert!(read(&text).expect_err("an error").contains("includes itself"));
     let text = format!("{SMALL}include nowhere.conf\n");
@@ -133,15 +134,18 @@
         (0..20).map(|n| (format!("{n}.conf"), format!("include {}.conf\n", n + 1))).collect();
     let mut files = vec![("main.conf", "include 0.conf\n")];
     files.extend(chain.iter().map(|(name, text)| (name.as_str(), text.as_str())));
-    assert!(Files::new(&files).read(Vec::new()).expect_err("an error").contains("within each other"));
+    assert!(Files::new(&files)
+        .read(Vec::new())
+        .expect_err("an error")
+        .contains("nested more than 8 deep, expected at most 8"));
 }
 
 #[test]
-fn what_is_no_file_of_lines_is_turned_down_unread() {
+fn unsuitable_files_are_rejected_without_blocking() {
     let fails = |path: &Path| {
         compile(Input { file: Some(path), ..Input::default() }).expect_err("an error").to_string()
     };
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a directory");
     assert!(fails(folder.path()).ends_with("found a folder, expected a file"));
     let long = folder.path().join("long");
     fs::write(&long, vec![b'#'; 10 * 1024 * 1024]).expect("a file");
@@ -150,7 +154,7 @@
     fs::write(&bytes, b"name a\nname \xff\n").expect("a file");
     assert!(fails(&bytes).ends_with("found a byte that is not UTF-8 in line 2, expected text"));
     assert!(fails(&folder.path().join("nothing")).contains("No such file"));
-    // Its opening would never return.
+    // Opening a pipe without a writer would block forever.
     let pipe = folder.path().join("pipe");
     let made = std::process::Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs");
     assert!(made.success());
@@ -158,7 +162,7 @@
 }
 
 #[test]
-fn a_reload_knows_what_it_heeds() {
+fn changes_are_split_by_whether_a_reload_applies_them() {
     let old = read(SMALL).expect("a configuration");
     let text = SMALL.replace("4001", "4002").replace("500ms", "600ms");
     let new = read(&format!("{text}log {{\n level warn\n}}\n")).expect("a configuration");
@@ -168,9 +172,9 @@
     assert_eq!(old.changes_since(&old), Default::default());
 }
 
-/// The platform's JSON wins; what is ours alone is taken from the file.
+/// Sections that the platform's JSON does not cover are still read from the file.
 #[test]
-fn beside_the_platforms_json_only_our_own_sections_count() {
+fn the_platforms_json_takes_precedence_over_its_sections_in_the_file() {
     let files = Files::new(&[("main.conf", "name mine\nlimits {\n attempts 2\n}\nlog {\n format json\n}\n")]);
     let platform = json!({"name": "n0", "settings": {"limits": {"send_cap": 6}}});
     let path = files.path();
@@ -186,13 +190,15 @@
     assert_eq!((row.value.as_str(), row.origin.to_string().as_str()), ("6", "p.json"));
 }
 
-/// Every default can be read by its own keyword, and no two keywords of a section share a name or a place.
+/// Each default is parsed by its own keyword, and no two keywords of a section share a name or a path.
 #[test]
-fn the_table_holds_together() {
+fn defaults_are_valid_and_names_and_paths_are_unique() {
     for section in schema::SECTIONS {
-        for (at, keyword) in section.keywords.iter().enumerate() {
-            assert!(!section.keywords[..at].iter().any(|k| k.name == keyword.name || k.path == keyword.path));
-            assert!(keyword.doc.ends_with('.') || keyword.name == "fall-multiple", "{}", keyword.name);
+        for (index, keyword) in section.keywords.iter().enumerate() {
+            assert!(!section.keywords[..index]
+                .iter()
+                .any(|k| k.name == keyword.name || k.path == keyword.path));
+            assert!(keyword.doc.ends_with('.'), "{}", keyword.name);
         }
     }
     let resolved = read(SMALL).expect("a configuration");
@@ -211,18 +217,21 @@
     }
 }
 
-/// The page for operators is this table: `rookspoke config keywords` prints it.
+/// `docs/configuration.md` contains the table of keywords as `rookspoke config keywords` prints it.
 #[test]
-fn the_page_has_every_keyword_as_the_table_does() {
+fn the_reference_matches_the_keyword_table() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/configuration.md");
     let page = fs::read_to_string(page).expect("docs/configuration.md");
-    assert!(page.contains(&schema::markdown()), "run `rookspoke config keywords` and put it in the page");
+    assert!(
+        page.contains(&schema::markdown()),
+        "replace the tables in docs/configuration.md by the output of `rookspoke config keywords`"
+    );
 }
 
 proptest::proptest! {
-    /// Whatever the bytes are, reading ends, and what is wrong is told.
+    /// Arbitrary text either parses or yields errors, without a panic or an endless loop.
     #[test]
-    fn any_text_is_read_or_turned_down(text in "(\\PC|[\n\\\\\"{}# ]|class|listen|include|worker){0,60}") {
+    fn parsing_terminates_on_any_text(text in "(\\PC|[\n\\\\\"{}# ]|class|listen|include|worker){0,60}") {
         let _ = read(&text);
     }
 }
