--- a/crates/conf/src/compile.rs
+++ b/crates/conf/src/compile.rs
@@ -15,7 +15,7 @@
 /// Maximum number of files in one configuration.
 const MAX_FILES: usize = 64;
 /// Maximum depth of nested includes.
-const MAX_DEPTH: usize = 8;
+const MAX_INCLUDE_DEPTH: usize = 8;
 /// Maximum number of errors reported at once. A file in another format would otherwise fill many screens.
 const MAX_PROBLEMS: usize = 20;
 
@@ -81,7 +81,7 @@
     problems: Vec<Problem>,
     warnings: Vec<String>,
     has_platform: bool,
-    /// The first line of each section found so far, by section name and instance name.
+    /// Location of the first line of each section found so far, by section name and instance name.
     first_lines: BTreeMap<(&'static str, Option<String>), Span>,
 }
 
@@ -112,26 +112,28 @@
     }
 
     /// Parses a file and replaces its includes by the lines of the included files.
-    fn parse_file(&mut self, file: usize, open: &mut Vec<PathBuf>) -> Vec<Line> {
+    fn parse_file(&mut self, file: usize, open_files: &mut Vec<PathBuf>) -> Vec<Line> {
         let text = self.sources.get(file).text.clone();
         let lines = syntax::parse(file, &text, &mut self.problems);
-        self.expand(lines, open)
+        self.expand(lines, open_files)
     }
 
-    fn expand(&mut self, lines: Vec<Line>, open: &mut Vec<PathBuf>) -> Vec<Line> {
+    /// Replaces the includes among these lines, also inside sections.
+    fn expand(&mut self, lines: Vec<Line>, open_files: &mut Vec<PathBuf>) -> Vec<Line> {
         let mut all = Vec::new();
         for mut line in lines {
             if line.keyword.text == "include" {
-                self.include(&line, open, &mut all);
+                self.include(&line, open_files, &mut all);
                 continue;
             }
-            line.block = line.block.map(|block| self.expand(block, open));
+            line.block = line.block.map(|block| self.expand(block, open_files));
             all.push(line);
         }
         all
     }
 
-    fn include(&mut self, line: &Line, open: &mut Vec<PathBuf>, all: &mut Vec<Line>) {
+    /// Appends the lines of the files that an include matches. `open_files` are the files being expanded.
+    fn include(&mut self, line: &Line, open_files: &mut Vec<PathBuf>, all: &mut Vec<Line>) {
         let [pattern] = line.args.as_slice() else {
             let text = format!("found {} values, expected one path or pattern", line.args.len());
             return self.problems.push(Problem::at(line.span(), text));
@@ -141,13 +143,15 @@
                 .problems
                 .push(Problem::at(line.span(), "found `{` after `include`, expected the end of the line"));
         }
-        if open.len() > MAX_DEPTH {
-            let text =
-                format!("found includes nested more than {MAX_DEPTH} deep, expected at most {MAX_DEPTH}");
+        if open_files.len() > MAX_INCLUDE_DEPTH {
+            let text = format!(
+                "found includes nested more than {MAX_INCLUDE_DEPTH} deep, expected at most \
+                 {MAX_INCLUDE_DEPTH}"
+            );
             return self.problems.push(Problem::at(line.span(), text));
         }
-        let folder = self.sources.get(line.keyword.span.file).folder.clone();
-        let path = folder.join(&pattern.text);
+        let directory = self.sources.get(line.keyword.span.file).directory.clone();
+        let path = directory.join(&pattern.text);
         // A file name may itself contain a pattern character.
         let is_pattern = pattern.text.contains(['*', '?', '[']) && !path.exists();
         let found = match is_pattern {
@@ -169,8 +173,8 @@
             },
         };
         for path in found {
-            let real = canonical(&path);
-            if open.contains(&real) {
+            let canonical_path = canonical(&path);
+            if open_files.contains(&canonical_path) {
                 let text = format!("found an include cycle: `{}` includes itself", path.display());
                 self.problems.push(Problem::at(pattern.span, text));
                 continue;
@@ -181,9 +185,9 @@
             }
             match self.sources.open(&path) {
                 Ok(file) => {
-                    open.push(real);
-                    let lines = self.parse_file(file, open);
-                    open.pop();
+                    open_files.push(canonical_path);
+                    let lines = self.parse_file(file, open_files);
+                    open_files.pop();
                     all.extend(lines);
                 }
                 Err(error) => {
@@ -194,6 +198,7 @@
         }
     }
 
+    /// Processes the lines outside of all sections.
     fn top_level(&mut self, lines: &[Line]) {
         let top = &SECTIONS[0];
         for line in lines {
@@ -495,10 +500,11 @@
         }
         set_pointer(&mut self.tree, "/settings/specifics/class_kind", Value::Array(class_kinds));
         let number = |pointer: &str| self.tree.pointer(pointer).and_then(Value::as_u64).unwrap_or(0);
-        let (me, all) = (number("/settings/me"), number("/settings/balancers"));
-        if me >= all {
+        let (own_number, dispatchers) = (number("/settings/me"), number("/settings/balancers"));
+        if own_number >= dispatchers {
             let at = self.spans.get("/settings/me").or(self.spans.get("/settings/balancers")).copied();
-            let text = format!("found {me} for `number`, expected less than `dispatchers` ({all})");
+            let text =
+                format!("found {own_number} for `number`, expected less than `dispatchers` ({dispatchers})");
             self.problems.push(Problem { message: text, span: at, help: None });
         }
     }
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -3,6 +3,8 @@
 
 use crate::value::Kind;
 
+use Absent::{Default, Required, Unset};
+
 /// What follows a section's name in its first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Label {
@@ -72,12 +74,10 @@
     Keyword { reloadable: true, ..keyword }
 }
 
-use Absent::{Default, Required, Unset};
-
 const DAY: f64 = 86_400_000.0;
 const DEFAULT_ON: Absent = Default("on");
 const FRACTION: Kind = Kind::Number { min: 0.0, max: 1.0 };
-const POSITIVE: Kind = Kind::Number { min: 0.0, max: f64::MAX };
+const NON_NEGATIVE: Kind = Kind::Number { min: 0.0, max: f64::MAX };
 const fn time(min: f64, max: f64) -> Kind {
     Kind::Time { min, max }
 }
@@ -206,7 +206,7 @@
             ),
             keyword(
                 "cross-zone-price",
-                POSITIVE,
+                NON_NEGATIVE,
                 Default("0"),
                 "settings/prices/cross_zone",
                 "Cost of sending a request to another zone, as a fraction of its worth.",
@@ -255,7 +255,7 @@
             ),
             keyword(
                 "worth",
-                POSITIVE,
+                NON_NEGATIVE,
                 Default("1"),
                 "gain",
                 "Worth of an answer in time, relative to other classes.",
@@ -343,7 +343,7 @@
             )),
             reloadable(keyword(
                 "weight",
-                POSITIVE,
+                NON_NEGATIVE,
                 Default("1"),
                 "capacity_hint",
                 "Capacity relative to other log workers.",
--- a/crates/conf/src/source.rs
+++ b/crates/conf/src/source.rs
@@ -80,7 +80,7 @@
     /// The path as it was given, or a description of another source, such as a flag.
     pub name: String,
     /// Directory that relative includes in this text refer to.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// Contents of the file.
     pub text: String,
 }
@@ -113,14 +113,14 @@
     /// As [`read_bounded`].
     pub fn open(&mut self, path: &Path) -> Result<usize, ReadError> {
         let text = read_bounded(path, MAX_FILE_BYTES)?;
-        let folder = path.parent().map_or_else(PathBuf::new, Path::to_path_buf);
-        Ok(self.add(Source { name: path.display().to_string(), folder, text }))
+        let directory = path.parent().map_or_else(PathBuf::new, Path::to_path_buf);
+        Ok(self.add(Source { name: path.display().to_string(), directory, text }))
     }
 
     /// Adds a text that is not a file, such as a value from the command line or the environment, and returns
     /// its index.
     pub fn add_text(&mut self, name: &str, text: &str) -> usize {
-        self.add(Source { name: name.into(), folder: PathBuf::new(), text: text.into() })
+        self.add(Source { name: name.into(), directory: PathBuf::new(), text: text.into() })
     }
 
     fn add(&mut self, source: Source) -> usize {
@@ -147,7 +147,7 @@
     pub fn location(&self, span: Span) -> Location {
         let source = self.get(span.file);
         let before = &source.text[..span.start.min(source.text.len())];
-        let line_start = before.rfind('\n').map_or(0, |at| at + 1);
+        let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
         Location {
             file: source.name.clone(),
             line: 1 + before.matches('\n').count(),
