--- a/crates/conf/src/compile.rs
+++ b/crates/conf/src/compile.rs
@@ -64,7 +64,7 @@
     for over in input.overrides {
         builder.add_override(&over);
     }
-    // Missing values can only be told apart from unreadable ones if all lines were read.
+    // Only after all lines were parsed is it certain that a value is missing rather than invalid.
     if builder.problems.is_empty() {
         builder.fill_defaults();
         builder.check();
@@ -263,9 +263,9 @@
             }
         };
         if self.is_ignored(section) {
-            let place = self.sources.location(line.span());
+            let location = self.sources.location(line.span());
             self.warnings.push(format!(
-                "{place}: `{}` is ignored: the platform's JSON takes precedence",
+                "{location}: `{}` is ignored: the platform's JSON takes precedence",
                 join_words(line)
             ));
         }
@@ -295,9 +295,9 @@
         let pointer = section.pointer(item, keyword.path);
         if self.is_ignored(section) {
             if section.name.is_empty() {
-                let place = self.sources.location(line.span());
+                let location = self.sources.location(line.span());
                 self.warnings
-                    .push(format!("{place}: `{name}` is ignored: the platform's JSON takes precedence"));
+                    .push(format!("{location}: `{name}` is ignored: the platform's JSON takes precedence"));
             }
             return;
         }
@@ -495,8 +495,8 @@
             let pointer = format!("/settings/classes/{item}/kind");
             self.check_listed(&pointer, "/settings/machine_types", "kinds");
             let kind = self.tree.pointer(&pointer).and_then(Value::as_str);
-            let place = kind.and_then(|kind| kinds.iter().position(|name| name == kind));
-            class_kinds.push(place.map_or(json!(-1), |place| json!(place)));
+            let index = kind.and_then(|kind| kinds.iter().position(|name| name == kind));
+            class_kinds.push(index.map_or(json!(-1), |index| json!(index)));
         }
         set_pointer(&mut self.tree, "/settings/specifics/class_kind", Value::Array(class_kinds));
         let number = |pointer: &str| self.tree.pointer(pointer).and_then(Value::as_u64).unwrap_or(0);
@@ -572,26 +572,26 @@
 
 /// Sets the value at a JSON pointer. Missing objects and list items on the path are created.
 fn set_pointer(tree: &mut Value, pointer: &str, value: Value) {
-    let mut at = tree;
+    let mut node = tree;
     for part in pointer.split('/').skip(1) {
-        at = match (at, part.parse::<usize>()) {
-            (Value::Array(list), Ok(place)) => {
-                while list.len() <= place {
+        node = match (node, part.parse::<usize>()) {
+            (Value::Array(list), Ok(index)) => {
+                while list.len() <= index {
                     list.push(json!({}));
                 }
-                &mut list[place]
+                &mut list[index]
             }
-            (at, Ok(place)) if at.is_null() || at.as_object().is_some_and(Map::is_empty) => {
-                *at = Value::Array(vec![json!({}); place + 1]);
-                &mut at[place]
+            (node, Ok(index)) if node.is_null() || node.as_object().is_some_and(Map::is_empty) => {
+                *node = Value::Array(vec![json!({}); index + 1]);
+                &mut node[index]
             }
-            (at, _) => {
-                if !at.is_object() {
-                    *at = json!({});
+            (node, _) => {
+                if !node.is_object() {
+                    *node = json!({});
                 }
-                &mut at[part]
+                &mut node[part]
             }
         };
     }
-    *at = value;
+    *node = value;
 }
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -28,7 +28,7 @@
     pub overridden_by_platform: bool,
     /// Description in the reference for operators.
     pub doc: &'static str,
-    /// Keywords that may stand in the section.
+    /// Keywords that are valid in the section.
     pub keywords: &'static [Keyword],
 }
 
