--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use rookspoke_decisions::{Census, ClassId, EndReason, Name};
+use rookspoke_decisions::{ClassId, EndReason, Name, WorkerCounts};
 
 use super::Answer;
 
@@ -120,10 +120,10 @@
 }
 
 impl Gauges {
-    pub(crate) fn publish(&self, open: usize, census: Census) {
+    pub(crate) fn publish(&self, open: usize, counts: WorkerCounts) {
         self.open_requests.set(open);
-        self.known_workers.set(census.known);
-        self.skipped_workers.set(census.skipped);
+        self.known_workers.set(counts.known);
+        self.skipped_workers.set(counts.skipped);
     }
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -20,7 +20,7 @@
 pub use task::{Core, Limits};
 
 use rookspoke_decisions::{
-    Ban, ClassId, ListScope, Listing, LoadReport, Name, Note, Outcome, RequestId, TenantId, Time,
+    AttemptUpdate, Ban, ClassId, ListScope, Listing, LoadReport, Name, Outcome, RequestId, TenantId, Time,
 };
 
 /// A request that a front submits: what the decisions need to know of it, and the call that its transport sends.
@@ -139,7 +139,7 @@
 enum Input<C, R> {
     Submit(RequestId, Submission<C>, oneshot::Sender<Answer<R>>),
     ClientGone(RequestId),
-    Progress(RequestId, usize, Note),
+    Progress(RequestId, usize, AttemptUpdate),
     List(ListScope, Arc<[Listing]>),
 }
 
@@ -205,8 +205,8 @@
     }
 
     /// Reports the progress of a call attempt.
-    pub async fn report_progress(&self, request: RequestId, attempt: usize, note: Note) {
-        let _ = self.queue.send(Input::Progress(request, attempt, note)).await;
+    pub async fn report_progress(&self, request: RequestId, attempt: usize, update: AttemptUpdate) {
+        let _ = self.queue.send(Input::Progress(request, attempt, update)).await;
     }
 
     /// Passes on entries of the list of log workers, or the state of its source.
--- a/crates/faktory/src/lib.rs
+++ b/crates/faktory/src/lib.rs
@@ -48,12 +48,12 @@
 /// themselves, report when they start a job, and have neither zones nor kinds.
 fn front_settings(platform: &Settings) -> Settings {
     let mut settings = platform.clone();
-    (settings.me, settings.balancers) = (0, 1);
+    (settings.dispatcher_index, settings.dispatchers) = (0, 1);
     (settings.zone, settings.zones) = (registry::ZONE.into(), vec![registry::ZONE.into()]);
     (settings.discovery, settings.reporting) = (Discovery::Automatic, Reporting::Answers);
-    (settings.tells_start, settings.limits.probes, settings.limits.cancel) = (true, false, true);
+    (settings.reports_start, settings.limits.probes, settings.limits.cancel) = (true, false, true);
     // Consumers send no progress reports about a running job.
-    settings.progress = Span(0);
+    settings.progress_interval = Span(0);
     settings.kinds.clear();
     settings.classes.iter_mut().for_each(|class| class.kind = None);
     settings.tenants.clear();
--- a/crates/faktory/src/transport.rs
+++ b/crates/faktory/src/transport.rs
@@ -9,7 +9,7 @@
 
 use super::codec::Job;
 use super::registry::{ConsumerRegistry, OfferId, OfferResult};
-use rookspoke_decisions::{Name, Note, Outcome, Time};
+use rookspoke_decisions::{AttemptUpdate, Name, Outcome, Time};
 use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Handle, ProbeResult, Transport};
 
 /// A job as the core passes it to the transport.
@@ -75,7 +75,7 @@
                 Ok(Err(_)) | Err(_) => return Outcome::TurnedAway.into(),
             };
             handle.counters().written.increment();
-            handle.report_progress(request, number, Note::Started).await;
+            handle.report_progress(request, number, AttemptUpdate::Started).await;
             match timeout(reserve_for.min(clock.until(deadline)), outcome).await {
                 Ok(Ok(result)) => result,
                 // The consumer held the job and reported nothing: it may have run.
--- a/crates/rookspoke/src/connection.rs
+++ b/crates/rookspoke/src/connection.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tower::Service;
 
-use rookspoke_channel::{plain, ResponseBody, MAX_BUFFER};
+use rookspoke_channel::{plain_response, ResponseBody, MAX_BUFFER};
 use rookspoke_guard::{ClientSocket, FramedSocket, Permit};
 
 use crate::server_state::ServerState;
@@ -166,8 +166,8 @@
 async fn route(state: ServerState, request: Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() == READY_PATH {
         return match state.is_ready() {
-            true => plain(StatusCode::OK, "ready"),
-            false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+            true => plain_response(StatusCode::OK, "ready"),
+            false => plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         };
     }
     let Ok(mut response) = state.channel().clone().call(request).await;
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -225,7 +225,7 @@
             );
         }
         if let (Some(server_state), true) = (&self.server_state, list_changed) {
-            server_state.channel().take_list_from(new.config.list_source.clone()).await;
+            server_state.channel().set_list_source(new.config.list_source.clone()).await;
         }
         // The platform may compute the time of SIGKILL from the old deadlines or from the new ones; with the shorter
         // of both a shutdown ends in time in either case.
--- a/crates/rookspoke/src/front.rs
+++ b/crates/rookspoke/src/front.rs
@@ -73,8 +73,8 @@
             self.accept(&mut listener, &mut connections, &context, accept_until).await;
         }
         self.state.channel().begin_shutdown(ShutdownLimits {
-            body_by: shutdown_start + plan.cut_off,
-            answer_by: shutdown_start + plan.answered_by,
+            body_deadline: shutdown_start + plan.cut_off,
+            answer_deadline: shutdown_start + plan.answered_by,
         });
         let backlog_until = Instant::now() + BACKLOG_TIMEOUT;
         while let Some((socket, permit)) = listener.accept_remaining(shared, backlog_until).await {
