--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -14,10 +14,10 @@
 use rookspoke_emulator::script;
 use rookspoke_rig::clock::{Clock, Lateness};
 use rookspoke_rig::dispatcher::FaultInjection;
-use rookspoke_rig::judge::OneAnswer;
-use rookspoke_rig::load::{Load, Seat, SOCKET_SLACK};
+use rookspoke_rig::event_log::EventLog;
+use rookspoke_rig::invariants::OneAnswer;
+use rookspoke_rig::load::{Backend, LoadGenerator, SOCKET_SLACK};
 use rookspoke_rig::play::{Options, Outcome, Rig, Verdict};
-use rookspoke_rig::seen::Watch;
 use rookspoke_rig::soak::{Drawn, Sizes};
 
 /// A rule was broken.
@@ -225,14 +225,14 @@
     let scenario = as_rehearsal.scenario()?;
     runtime()?.block_on(async {
         let answer = scenario.span("rules.answer-slack") + SOCKET_SLACK;
-        let watch = Watch::new(Clock::starting_in(Duration::ZERO), vec![Box::new(OneAnswer::new(answer))]);
-        let seats: Vec<Seat> = what.to.iter().map(|to| Seat::at(*to)).collect();
+        let event_log = EventLog::new(Clock::starting_in(Duration::ZERO), vec![Box::new(OneAnswer::new(answer))]);
+        let backends: Vec<Backend> = what.to.iter().map(|to| Backend::in_rotation_at(*to)).collect();
         let lateness = Lateness::default();
-        let load = Load::new(&scenario, what.seed, Arc::new(seats), watch.clone(), lateness.clone());
+        let load = LoadGenerator::new(&scenario, what.seed, Arc::new(backends), event_log.clone(), lateness.clone());
         let jobs = arrivals(&scenario, what.seed, &mut stream(what.seed, Stream::Clients, 0));
-        load.run(watch.clock().now() + Span(200_000), &jobs).await;
-        watch.close();
-        let counted = load.counted();
+        load.run(event_log.clock().now() + Span(200_000), &jobs).await;
+        event_log.finish();
+        let counted = load.counts();
         let score = Score::of(&scenario, &counted.asked);
         let (late, quantile) = (lateness.figures(), |q| counted.latency.value_at_quantile(q) as f64 / 1000.0);
         crate::say(&format!(
@@ -248,15 +248,15 @@
             quantile(0.99),
             late.p99_ms
         ));
-        let breaches = watch.breaches();
-        breaches.iter().take(10).for_each(|breach| crate::say(&format!("{}: {}\n", breach.rule, breach.what)));
-        Ok(if breaches.is_empty() { 0 } else { BROKEN })
+        let violations = event_log.violations();
+        violations.iter().take(10).for_each(|violation| crate::say(&format!("{}: {}\n", violation.rule, violation.description)));
+        Ok(if violations.is_empty() { 0 } else { BROKEN })
     })
 }
 
 fn keep(what: &Rehearse, rig: &Rig, outcome: &Outcome) -> Result<(), String> {
     if let Some(path) = &what.timeline {
-        rig.watch.write(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        rig.event_log.write(path).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     what.files.write(what.script.as_deref(), &rig.scenario, std::slice::from_ref(&outcome.report))
 }
@@ -269,9 +269,20 @@
          (p99), {:.1} ms at most\n",
         outcome.verdict, outcome.ready_s, outcome.memory_kb, outcome.cpu_s, late.p99_ms, late.most_ms
     );
-    for breach in outcome.breaches.iter().take(10) {
-        text.push_str(&format!("{:.3} s: {}: {}\n", breach.at_ms / 1000.0, breach.rule, breach.what));
-        breach.around.iter().rev().take(3).rev().for_each(|line| text.push_str(&format!("    {line}\n")));
+    for violation in outcome.violations.iter().take(10) {
+        text.push_str(&format!(
+            "{:.3} s: {}: {}\n",
+            violation.at_ms / 1000.0,
+            violation.rule,
+            violation.description
+        ));
+        violation
+            .preceding_events
+            .iter()
+            .rev()
+            .take(3)
+            .rev()
+            .for_each(|line| text.push_str(&format!("    {line}\n")));
     }
     text
 }
@@ -283,13 +294,13 @@
     }
     loop {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let counted = rig.load.counted();
+        let counted = rig.load.counts();
         let late: usize = counted.late.iter().sum();
         let _ = write!(
             std::io::stderr(),
             "\r{:3} dispatchers, {:3} log workers; {} asked, {} served ({late} late), {} refused, {} failed   ",
             rig.in_front(),
-            rig.plant.up(),
+            rig.worker_pool.available_workers(),
             counted.asked.len(),
             counted.served,
             counted.refused,
--- a/crates/rig/src/registry.rs
+++ b/crates/rig/src/discovery.rs
@@ -21,9 +21,9 @@
 use tokio::sync::{broadcast, mpsc, watch};
 
 use crate::clock::duration;
-use crate::plant::name;
-use crate::seen::{Seen, Watch};
-use crate::serve::{plain, Reset, Said, Told};
+use crate::event_log::{Event, EventLog};
+use crate::response::{plain_response, BodyChunk, ConnectionReset, StreamBody};
+use crate::worker_pool::worker_name;
 
 /// As long as nothing changes, a watch says so this often.
 const EMPTY_EVERY: Duration = Duration::from_secs(2);
@@ -34,7 +34,7 @@
 
 /// What discovery sees of a log worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum View {
+pub enum ListedState {
     /// It takes work, and started then; none is long ago.
     Active(Option<Time>),
     /// It wants nothing new.
@@ -45,29 +45,29 @@
 
 /// How discovery is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum DiscoveryMode {
     /// As it should be.
-    Works,
+    Normal,
     /// Calls are answered 503, and watches have ended.
-    Refuses,
+    Refusing,
     /// Calls are taken and nothing is answered; watches stay open and say nothing.
     Silent,
     /// It goes on telling the list as it was when this began.
-    Old,
+    Stale,
 }
 
 struct State {
-    view: Vec<View>,
+    view: Vec<ListedState>,
     /// Starts of processes, kept through a drain.
     started: Vec<Option<Time>>,
     rev: u64,
     /// The list that is told while it is old.
-    old: Option<(u64, Vec<View>)>,
+    old: Option<(u64, Vec<ListedState>)>,
     /// When the next call can be served.
     free: Time,
     /// What was last written to each dispatcher.
-    told: HashMap<(usize, usize), View>,
-    told_start: HashMap<(usize, usize), Time>,
+    told: HashMap<(usize, usize), ListedState>,
+    notified_start: HashMap<(usize, usize), Time>,
     /// Processes that each dispatcher has had.
     lives: HashMap<usize, u64>,
 }
@@ -75,10 +75,10 @@
 struct Inner {
     s: Scenario,
     seed: u64,
-    watch: Watch,
+    event_log: EventLog,
     state: Mutex<State>,
-    mode: watch::Sender<Mode>,
-    changes: broadcast::Sender<(u64, usize, View)>,
+    mode: watch::Sender<DiscoveryMode>,
+    changes: broadcast::Sender<(u64, usize, ListedState)>,
     /// Where each group of dispatchers reaches each log worker.
     ways: Vec<Vec<SocketAddr>>,
     /// The group of each dispatcher.
@@ -87,35 +87,35 @@
 
 /// Discovery. Clones are the same.
 #[derive(Clone)]
-pub struct Registry(Arc<Inner>);
+pub struct DiscoveryServer(Arc<Inner>);
 
-impl Registry {
+impl DiscoveryServer {
     /// Discovery of a scenario's log workers; `ways` holds, for each group of dispatchers, where it reaches each of
     /// them, and `groups` the group of each dispatcher.
     pub fn new(
         s: &Scenario,
         seed: u64,
-        watch: Watch,
+        event_log: EventLog,
         ways: Vec<Vec<SocketAddr>>,
         groups: Vec<usize>,
     ) -> Self {
         let workers = s.count("workers");
         let state = State {
-            view: vec![View::Active(None); workers],
+            view: vec![ListedState::Active(None); workers],
             started: vec![None; workers],
             rev: 1,
             old: None,
             free: Time(0),
             told: HashMap::new(),
-            told_start: HashMap::new(),
+            notified_start: HashMap::new(),
             lives: HashMap::new(),
         };
-        let mode = watch::Sender::new(Mode::Works);
+        let mode = watch::Sender::new(DiscoveryMode::Normal);
         let changes = broadcast::Sender::new(BEHIND * workers.max(256));
-        Registry(Arc::new(Inner {
+        DiscoveryServer(Arc::new(Inner {
             s: s.clone(),
             seed,
-            watch,
+            event_log,
             state: Mutex::new(state),
             mode,
             changes,
@@ -130,7 +130,7 @@
 
     /// Serves a dispatcher, which asks at a listener of its own.
     pub fn serve(&self, dispatcher: usize, listener: TcpListener) {
-        let registry = self.clone();
+        let discovery_server = self.clone();
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
@@ -138,11 +138,11 @@
                     continue;
                 };
                 let _ = stream.set_nodelay(true);
-                let registry = registry.clone();
+                let discovery_server = discovery_server.clone();
                 tokio::spawn(async move {
                     let service = service_fn(move |request| {
-                        let registry = registry.clone();
-                        async move { Ok::<_, Infallible>(registry.answer(dispatcher, request).await) }
+                        let discovery_server = discovery_server.clone();
+                        async move { Ok::<_, Infallible>(discovery_server.answer(dispatcher, request).await) }
                     });
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
@@ -151,19 +151,19 @@
     }
 
     /// Discovery sees this of a log worker in a while, and tells it then.
-    pub fn notices(&self, after: Span, worker: usize, view: View) {
-        let registry = self.clone();
+    pub fn update_after(&self, after: Span, worker: usize, view: ListedState) {
+        let discovery_server = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(duration(after)).await;
-            registry.sees(worker, view);
+            discovery_server.update(worker, view);
         });
     }
 
     /// Discovery sees this of a log worker.
-    pub fn sees(&self, worker: usize, view: View) {
+    pub fn update(&self, worker: usize, view: ListedState) {
         let mut state = self.state();
         state.view[worker] = view;
-        if let View::Active(started) = view {
+        if let ListedState::Active(started) = view {
             state.started[worker] = started;
         }
         state.rev += 1;
@@ -171,61 +171,61 @@
     }
 
     /// Changes how discovery is.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = self.state();
-        state.old = (mode == Mode::Old).then(|| (state.rev, state.view.clone()));
+        state.old = (mode == DiscoveryMode::Stale).then(|| (state.rev, state.view.clone()));
         self.0.mode.send_replace(mode);
     }
 
     /// A dispatcher's process is new, and was told nothing yet.
-    pub fn forgets(&self, dispatcher: usize) {
+    pub fn forget_dispatcher(&self, dispatcher: usize) {
         let mut state = self.state();
         *state.lives.entry(dispatcher).or_default() += 1;
         state.told.retain(|(of, _), _| *of != dispatcher);
-        state.told_start.retain(|(of, _), _| *of != dispatcher);
+        state.notified_start.retain(|(of, _), _| *of != dispatcher);
     }
 
     /// The start of a log worker's process, as this dispatcher was last told.
-    pub fn told_start(&self, dispatcher: usize, worker: usize) -> Option<Time> {
-        self.state().told_start.get(&(dispatcher, worker)).copied()
+    pub fn notified_start(&self, dispatcher: usize, worker: usize) -> Option<Time> {
+        self.state().notified_start.get(&(dispatcher, worker)).copied()
     }
 
     /// The whole list as it is, for a dispatcher that remembers it from before its start.
-    pub fn known(&self, dispatcher: usize) -> Value {
+    pub fn snapshot(&self, dispatcher: usize) -> Value {
         let state = self.state();
         self.whole(&state, dispatcher, state.rev, &state.view)
     }
 
-    fn whole(&self, state: &State, dispatcher: usize, rev: u64, view: &[View]) -> Value {
-        let here = view.iter().enumerate().filter(|(_, view)| **view != View::Gone);
+    fn whole(&self, state: &State, dispatcher: usize, rev: u64, view: &[ListedState]) -> Value {
+        let here = view.iter().enumerate().filter(|(_, view)| **view != ListedState::Gone);
         let targets: Vec<Value> = here.map(|(w, view)| self.entry(state, dispatcher, w, *view)).collect();
         json!({"rev": rev, "all": true, "targets": targets})
     }
 
-    fn entry(&self, state: &State, dispatcher: usize, worker: usize, view: View) -> Value {
+    fn entry(&self, state: &State, dispatcher: usize, worker: usize, view: ListedState) -> Value {
         let zones = self.0.s.count("zones");
         let started = match view {
-            View::Active(started) => started,
-            View::Draining | View::Gone => state.started[worker],
+            ListedState::Active(started) => started,
+            ListedState::Draining | ListedState::Gone => state.started[worker],
         };
-        let boot_ms = started.map_or(0, |at| self.0.watch.clock().unix_ms(at));
+        let boot_ms = started.map_or(0, |at| self.0.event_log.clock().unix_ms(at));
         json!({
-            "uid": name(worker), "endpoint": self.0.ways[self.0.groups[dispatcher]][worker],
+            "uid": worker_name(worker), "endpoint": self.0.ways[self.0.groups[dispatcher]][worker],
             "az": format!("z{}", worker % zones), "model": "std", "pod_group": worker / 8,
-            "state": match view { View::Active(_) => "active", View::Draining => "leaving", View::Gone => "left" },
+            "state": match view { ListedState::Active(_) => "active", ListedState::Draining => "leaving", ListedState::Gone => "left" },
             "capacity_hint": 1.0, "boot_ms": boot_ms,
         })
     }
 
     /// What is written to a dispatcher here.
-    fn writes(&self, state: &mut State, dispatcher: usize, worker: usize, view: View) {
-        let before = state.told.insert((dispatcher, worker), view).unwrap_or(View::Active(None));
-        if let View::Active(Some(started)) = view {
-            state.told_start.insert((dispatcher, worker), started);
+    fn writes(&self, state: &mut State, dispatcher: usize, worker: usize, view: ListedState) {
+        let before = state.told.insert((dispatcher, worker), view).unwrap_or(ListedState::Active(None));
+        if let ListedState::Active(Some(started)) = view {
+            state.notified_start.insert((dispatcher, worker), started);
         }
-        let takes = |view| matches!(view, View::Active(_));
+        let takes = |view| matches!(view, ListedState::Active(_));
         if takes(before) != takes(view) {
-            self.0.watch.sees(Seen::Told { dispatcher, worker, takes: takes(view) });
+            self.0.event_log.record(Event::Notified { dispatcher, worker, accepts_work: takes(view) });
         }
     }
 
@@ -239,38 +239,40 @@
         (rev, format!("{}\n", self.whole(&state, dispatcher, rev, &view)))
     }
 
-    fn write_change(&self, dispatcher: usize, rev: u64, worker: usize, view: View) -> String {
+    fn write_change(&self, dispatcher: usize, rev: u64, worker: usize, view: ListedState) -> String {
         let mut state = self.state();
         self.writes(&mut state, dispatcher, worker, view);
         let targets = [self.entry(&state, dispatcher, worker, view)];
         format!("{}\n", json!({"rev": rev, "all": false, "targets": targets}))
     }
 
-    async fn answer(&self, dispatcher: usize, request: Request<Incoming>) -> Response<Told> {
+    async fn answer(&self, dispatcher: usize, request: Request<Incoming>) -> Response<StreamBody> {
         if request.uri().path() != "/registry/instances" {
-            return plain(StatusCode::NOT_FOUND, "");
+            return plain_response(StatusCode::NOT_FOUND, "");
         }
         let watches = request.uri().query().is_some_and(|query| query.contains("watch=1"));
         if !self.its_turn().await {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "");
+            return plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
         }
         if !watches {
-            return plain(StatusCode::OK, self.write_whole(dispatcher).1);
+            return plain_response(StatusCode::OK, self.write_whole(dispatcher).1);
         }
         let (say, said) = mpsc::channel(16);
-        let registry = self.clone();
-        tokio::spawn(async move { registry.follow(dispatcher, say).await });
-        Response::new(Told::new(said, || {}))
+        let discovery_server = self.clone();
+        tokio::spawn(async move { discovery_server.follow(dispatcher, say).await });
+        Response::new(StreamBody::new(said, || {}))
     }
 
     /// Calls wait in turn; one that would wait for too long fails.
     async fn its_turn(&self) -> bool {
         let mut mode = self.0.mode.subscribe();
         let timeout = self.0.s.span("discovery.timeout");
-        if mode.wait_for(|mode| *mode != Mode::Silent).await.is_err() || *mode.borrow() == Mode::Refuses {
+        if mode.wait_for(|mode| *mode != DiscoveryMode::Silent).await.is_err()
+            || *mode.borrow() == DiscoveryMode::Refusing
+        {
             return false;
         }
-        let clock = self.0.watch.clock();
+        let clock = self.0.event_log.clock();
         let served = {
             let mut state = self.state();
             let served =
@@ -300,27 +302,27 @@
         let (life, missed) = {
             let state = self.state();
             let life = state.lives.get(&dispatcher).copied();
-            let stops = |worker: &usize| !matches!(state.view[*worker], View::Active(_));
+            let stops = |worker: &usize| !matches!(state.view[*worker], ListedState::Active(_));
             (life, (0..state.view.len()).filter(stops).collect::<Vec<_>>())
         };
-        let registry = self.clone();
+        let discovery_server = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep_until(silent + SILENCE_COUNTS).await;
-            let mut state = registry.state();
+            let mut state = discovery_server.state();
             if state.lives.get(&dispatcher).copied() != life {
                 return;
             }
             for worker in missed {
                 let view = state.view[worker];
-                if !matches!(view, View::Active(_)) {
-                    registry.writes(&mut state, dispatcher, worker, view);
+                if !matches!(view, ListedState::Active(_)) {
+                    discovery_server.writes(&mut state, dispatcher, worker, view);
                 }
             }
         });
     }
 
     /// Tells a watch what changes, until nobody listens or discovery goes down.
-    async fn follow(&self, dispatcher: usize, say: mpsc::Sender<Said>) {
+    async fn follow(&self, dispatcher: usize, say: mpsc::Sender<BodyChunk>) {
         let mut changes = self.0.changes.subscribe();
         let mut mode = self.0.mode.subscribe();
         let mut rng = stream(self.0.seed, Stream::Discovery, dispatcher as u64);
@@ -334,8 +336,8 @@
             line = loop {
                 let now = *mode.borrow_and_update();
                 match now {
-                    Mode::Refuses => return drop(say.send(Err(Reset)).await),
-                    Mode::Silent => {
+                    DiscoveryMode::Refusing => return drop(say.send(Err(ConnectionReset)).await),
+                    DiscoveryMode::Silent => {
                         let silent = tokio::time::Instant::now();
                         tokio::select! {
                             _ = mode.changed() => {}
@@ -344,21 +346,21 @@
                             () = tokio::time::sleep(SILENCE_COUNTS) => self.missed(dispatcher, silent),
                         }
                         // What changed in the meantime comes with the whole list.
-                        if *mode.borrow() != Mode::Silent {
+                        if *mode.borrow() != DiscoveryMode::Silent {
                             let (rev, whole) = self.write_whole(dispatcher);
                             held = rev;
                             break whole;
                         }
                         continue;
                     }
-                    Mode::Works | Mode::Old => {}
+                    DiscoveryMode::Normal | DiscoveryMode::Stale => {}
                 }
                 tokio::select! {
                     changed = mode.changed() => {
                         if changed.is_err() {
                             return;
                         }
-                        if now == Mode::Old && *mode.borrow() == Mode::Works {
+                        if now == DiscoveryMode::Stale && *mode.borrow() == DiscoveryMode::Normal {
                             // What was kept from it.
                             let (rev, whole) = self.write_whole(dispatcher);
                             held = rev;
@@ -366,16 +368,16 @@
                         }
                     }
                     change = changes.recv() => match change {
-                        Ok((rev, worker, view)) if rev > held && now == Mode::Works => {
+                        Ok((rev, worker, view)) if rev > held && now == DiscoveryMode::Normal => {
                             held = rev;
                             let late = rng.random_range(0..=spread) as u64;
                             tokio::time::sleep(Duration::from_micros(late)).await;
-                            if *mode.borrow() == Mode::Works {
+                            if *mode.borrow() == DiscoveryMode::Normal {
                                 break self.write_change(dispatcher, rev, worker, view);
                             }
                         }
                         Ok(_) => {}
-                        Err(_) => return drop(say.send(Err(Reset)).await),
+                        Err(_) => return drop(say.send(Err(ConnectionReset)).await),
                     },
                     () = tokio::time::sleep(EMPTY_EVERY) => break "\n".into(),
                     () = say.closed() => return,
--- a/crates/rig/src/dispatcher.rs
+++ b/crates/rig/src/dispatcher.rs
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 
 use crate::ask::ask;
+use crate::event_log::{Event, EventLog, ProcessEvent};
 use crate::keeper::{Keeper, Kept};
-use crate::seen::{Life, Seen, Watch};
 
 /// Lines of its log that are kept for whoever asks.
 const LINES: usize = 400;
@@ -84,7 +84,7 @@
     folder: PathBuf,
     program: PathBuf,
     keeper: Arc<Keeper>,
-    watch: Watch,
+    event_log: EventLog,
     config: Mutex<Value>,
     running: tokio::sync::Mutex<Option<Running>>,
     log: Arc<Mutex<VecDeque<String>>>,
@@ -145,7 +145,7 @@
         program: &Path,
         number: usize,
         config: Value,
-        watch: Watch,
+        event_log: EventLog,
     ) -> io::Result<Self> {
         let name = format!("n{number}");
         let folder = keeper.folder().join(&name);
@@ -156,7 +156,7 @@
             folder,
             program: program.to_owned(),
             keeper: keeper.clone(),
-            watch,
+            event_log,
             config: Mutex::new(config),
             running: tokio::sync::Mutex::default(),
             log: Arc::default(),
@@ -175,8 +175,8 @@
         std::fs::read_to_string(self.folder.join(FAULTS_LOG)).unwrap_or_default().lines().count()
     }
 
-    fn lives(&self, life: Life) {
-        self.watch.sees(Seen::Dispatcher { dispatcher: self.number, life });
+    fn lives(&self, life: ProcessEvent) {
+        self.event_log.record(Event::Dispatcher { dispatcher: self.number, event: life });
     }
 
     /// The configuration that its next process reads.
@@ -206,10 +206,16 @@
         let arguments = ["--set".as_ref(), "log.format=json".as_ref()];
         let mut process =
             self.keeper.spawn(&self.program, &arguments, &self.folder, &variables).await.map_err(spawn)?;
-        self.lives(Life::Started);
+        self.lives(ProcessEvent::Started);
         let (sender, doors) = watch::channel(Doors::default());
         if let Some(stderr) = process.child.stderr.take() {
-            tokio::spawn(read_log(stderr, self.name.clone(), self.log.clone(), self.watch.clone(), sender));
+            tokio::spawn(read_log(
+                stderr,
+                self.name.clone(),
+                self.log.clone(),
+                self.event_log.clone(),
+                sender,
+            ));
         }
         let mut known = doors.clone();
         *running = Some(Running { process, doors });
@@ -257,7 +263,7 @@
         };
         match tokio::time::timeout(patience, asks).await {
             Ok(()) => {
-                self.lives(Life::Ready);
+                self.lives(ProcessEvent::Ready);
                 Ok(())
             }
             Err(_) => Err(self.not_ready("is not ready")),
@@ -291,7 +297,7 @@
     /// Kills it at once.
     pub async fn kill(&self) {
         if let Some(mut running) = self.running.lock().await.take() {
-            self.lives(Life::Killed);
+            self.lives(ProcessEvent::Killed);
             let _ = running.process.signal(Signal::KILL);
             let _ = running.process.ended().await;
         }
@@ -300,10 +306,10 @@
     /// Tells it to end, and waits; what has not ended after `patience` is killed. True where it ended by itself.
     pub async fn end(&self, patience: Duration) -> bool {
         let Some(mut running) = self.running.lock().await.take() else { return false };
-        self.lives(Life::Terminated);
+        self.lives(ProcessEvent::Terminated);
         let _ = running.process.signal(Signal::TERM);
         let ended = tokio::time::timeout(patience, running.process.ended()).await.is_ok();
-        self.lives(if ended { Life::Ended } else { Life::Killed });
+        self.lives(if ended { ProcessEvent::Exited } else { ProcessEvent::Killed });
         ended
     }
 
@@ -311,7 +317,7 @@
     pub async fn stop(&self) {
         if let Some(running) = &*self.running.lock().await {
             let _ = running.process.signal(Signal::STOP);
-            self.lives(Life::Stopped);
+            self.lives(ProcessEvent::Stopped);
         }
     }
 
@@ -319,7 +325,7 @@
     pub async fn resume(&self) {
         if let Some(running) = &*self.running.lock().await {
             let _ = running.process.signal(Signal::CONT);
-            self.lives(Life::Resumed);
+            self.lives(ProcessEvent::Resumed);
         }
     }
 
@@ -376,7 +382,7 @@
     from: impl AsyncRead + Unpin,
     name: String,
     log: Arc<Mutex<VecDeque<String>>>,
-    watch: Watch,
+    event_log: EventLog,
     doors: watch::Sender<Doors>,
 ) {
     let mut lines = BufReader::new(from).lines();
@@ -395,7 +401,7 @@
                 log.pop_front();
             }
         }
-        watch.sees(Seen::Log { of: name.clone(), line });
+        event_log.record(Event::Log { process: name.clone(), line });
     }
     doors.send_modify(|doors| doors.ended = true);
 }
--- a/crates/rig/src/seen.rs
+++ b/crates/rig/src/event_log.rs
@@ -1,4 +1,4 @@
-//! What is seen from outside, on one clock, and told to judges and to the timeline.
+//! What is seen from outside, on one clock, and told to invariants and to the timeline.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -9,17 +9,17 @@
 use serde::Serialize;
 
 use crate::clock::Clock;
-use crate::judge::{Breach, Invariant};
+use crate::invariants::{Invariant, Violation};
 
 /// The most entries that a timeline holds; more are counted and left out.
-const MOST: usize = 2_000_000;
+const MAX_ENTRIES: usize = 2_000_000;
 /// Lines kept before a breach.
-const AROUND: usize = 12;
+const PRECEDING_ENTRIES: usize = 12;
 
 /// How a client's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum RequestOutcome {
     /// 200, with the result of a log worker.
     Served,
     /// 429 or 503.
@@ -27,17 +27,20 @@
     /// Any other answer.
     Failed,
     /// The connection ended without a whole answer.
-    Lost,
+    #[serde(rename = "lost")]
+    ConnectionLost,
     /// No connection came up, so nothing was sent.
-    Unreached,
+    #[serde(rename = "unreached")]
+    NotConnected,
     /// The client's time was up.
-    GivenUp,
+    #[serde(rename = "given-up")]
+    TimedOut,
 }
 
 /// What a dispatcher's process does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Life {
+pub enum ProcessEvent {
     /// Started.
     Started,
     /// Says that it is ready.
@@ -47,7 +50,8 @@
     /// Killed (SIGKILL).
     Killed,
     /// Ended.
-    Ended,
+    #[serde(rename = "ended")]
+    Exited,
     /// Stopped (SIGSTOP).
     Stopped,
     /// Goes on (SIGCONT).
@@ -59,7 +63,7 @@
 /// One thing that was seen.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Event {
     /// A client sent a job.
     Sent {
         /// The job's own number.
@@ -78,7 +82,8 @@
         /// The dispatcher.
         dispatcher: usize,
         /// How.
-        end: End,
+        #[serde(rename = "end")]
+        outcome: RequestOutcome,
     },
     /// A whole request reached a log worker.
     Reached {
@@ -90,69 +95,81 @@
         left_ms: Option<f64>,
     },
     /// A log worker turned an attempt away or handed it back: it never ran.
-    Away {
+    #[serde(rename = "away")]
+    TurnedAway {
         /// The job.
         id: u64,
         /// The log worker.
         worker: usize,
     },
     /// A job began to run.
-    Began {
+    #[serde(rename = "began")]
+    Started {
         /// The job.
         id: u64,
         /// The log worker.
         worker: usize,
     },
     /// A job ran to its end.
-    Done {
+    #[serde(rename = "done")]
+    Finished {
         /// The job.
         id: u64,
         /// The log worker.
         worker: usize,
     },
     /// Discovery wrote to a dispatcher whether a log worker takes work.
-    Told {
+    #[serde(rename = "told")]
+    Notified {
         /// The dispatcher.
         dispatcher: usize,
         /// The log worker.
         worker: usize,
         /// It takes work.
-        takes: bool,
+        #[serde(rename = "takes")]
+        accepts_work: bool,
     },
     /// A cold log worker fell over.
-    Fell {
+    #[serde(rename = "fell")]
+    Overloaded {
         /// The log worker.
         worker: usize,
         /// Mostly by jobs of dispatchers that had been told of its start.
-        told: bool,
+        #[serde(rename = "told")]
+        notified: bool,
     },
     /// A dispatcher's process.
     Dispatcher {
         /// Which.
         dispatcher: usize,
         /// What it does.
-        life: Life,
+        #[serde(rename = "life")]
+        event: ProcessEvent,
     },
     /// A figure that a dispatcher gave at the end, beside what was seen.
-    Figure {
+    #[serde(rename = "figure")]
+    CounterCheck {
         /// The dispatcher.
         dispatcher: usize,
         /// Its name.
         name: &'static str,
         /// What the dispatcher says.
-        says: u64,
+        #[serde(rename = "says")]
+        reported: u64,
         /// What was counted outside.
         counted: u64,
     },
     /// Something of the script begins or ends, or a log worker's process changes.
     Script {
         /// In words.
-        what: String,
+        #[serde(rename = "what")]
+        text: String,
     },
     /// A line of a process's own log.
     Log {
         /// Its name.
-        of: String,
+        #[serde(rename = "of")]
+        process: String,
         /// The line.
         line: String,
     },
@@ -162,51 +179,57 @@
 struct Entry {
     at_ms: f64,
     #[serde(flatten)]
-    seen: Seen,
+    event: Event,
 }
 
-struct Book {
+struct LogState {
     entries: Vec<Entry>,
-    left_out: u64,
-    last: VecDeque<usize>,
-    judges: Vec<Box<dyn Invariant>>,
-    breaches: Vec<Breach>,
+    omitted: u64,
+    recent: VecDeque<usize>,
+    invariants: Vec<Box<dyn Invariant>>,
+    violations: Vec<Violation>,
     /// When the play began: times are told from then.
-    begin: Time,
+    start: Time,
 }
 
-impl Default for Book {
+impl Default for LogState {
     fn default() -> Self {
-        Book {
+        LogState {
             entries: Vec::new(),
-            left_out: 0,
-            last: VecDeque::new(),
-            judges: Vec::new(),
-            breaches: Vec::new(),
-            begin: Time(0),
+            omitted: 0,
+            recent: VecDeque::new(),
+            invariants: Vec::new(),
+            violations: Vec::new(),
+            start: Time(0),
         }
     }
 }
 
-impl Book {
-    fn breaks(&mut self, at: Time, rule: &str, what: String) {
-        let around = self.last.iter().filter_map(|entry| serde_json::to_string(&self.entries[*entry]).ok());
-        let around = around.collect();
-        self.breaches.push(Breach { at_ms: (at - self.begin).ms(), rule: rule.into(), what, around });
+impl LogState {
+    fn add_violation(&mut self, at: Time, rule: &str, description: String) {
+        let preceding_events =
+            self.recent.iter().filter_map(|entry| serde_json::to_string(&self.entries[*entry]).ok());
+        let preceding_events = preceding_events.collect();
+        self.violations.push(Violation {
+            at_ms: (at - self.start).ms(),
+            rule: rule.into(),
+            description,
+            preceding_events,
+        });
     }
 }
 
 /// Where everything that is seen goes. Clones share it.
 #[derive(Clone)]
-pub struct Watch {
+pub struct EventLog {
     clock: Clock,
-    book: Arc<Mutex<Book>>,
+    state: Arc<Mutex<LogState>>,
 }
 
-impl Watch {
-    /// One with these judges.
-    pub fn new(clock: Clock, judges: Vec<Box<dyn Invariant>>) -> Self {
-        Watch { clock, book: Arc::new(Mutex::new(Book { judges, ..Book::default() })) }
+impl EventLog {
+    /// One with these invariants.
+    pub fn new(clock: Clock, invariants: Vec<Box<dyn Invariant>>) -> Self {
+        EventLog { clock, state: Arc::new(Mutex::new(LogState { invariants, ..LogState::default() })) }
     }
 
     /// The clock.
@@ -215,59 +238,59 @@
     }
 
     /// The play begins then: the timeline counts from there.
-    pub fn begins(&self, at: Time) {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner).begin = at;
+    pub fn set_start(&self, at: Time) {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner).start = at;
     }
 
     /// Something was seen just now.
-    pub fn sees(&self, seen: Seen) {
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn record(&self, event: Event) {
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         // Under the lock, so that the order is that of the clock.
         let at = self.clock.now();
-        self.put(&mut book, at, seen);
+        self.append(&mut state, at, event);
     }
 
-    fn put(&self, book: &mut Book, at: Time, seen: Seen) {
-        let mut judges = std::mem::take(&mut book.judges);
-        if book.entries.len() < MOST {
-            book.last.push_back(book.entries.len());
-            book.entries.push(Entry { at_ms: at.ms(), seen: seen.clone() });
-            if book.last.len() > AROUND {
-                book.last.pop_front();
+    fn append(&self, state: &mut LogState, at: Time, event: Event) {
+        let mut invariants = std::mem::take(&mut state.invariants);
+        if state.entries.len() < MAX_ENTRIES {
+            state.recent.push_back(state.entries.len());
+            state.entries.push(Entry { at_ms: at.ms(), event: event.clone() });
+            if state.recent.len() > PRECEDING_ENTRIES {
+                state.recent.pop_front();
             }
         } else {
-            book.left_out += 1;
+            state.omitted += 1;
         }
-        for judge in &mut judges {
-            if let Some(what) = judge.sees(at, &seen) {
-                book.breaks(at, judge.name(), what);
+        for invariant in &mut invariants {
+            if let Some(description) = invariant.observe(at, &event) {
+                state.add_violation(at, invariant.name(), description);
             }
         }
-        book.judges = judges;
+        state.invariants = invariants;
     }
 
-    /// The play is over: the judges say what is still owed.
-    pub fn close(&self) {
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
+    /// The play is over: the invariants say what is still owed.
+    pub fn finish(&self) {
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let at = self.clock.now();
-        let mut judges = std::mem::take(&mut book.judges);
-        for judge in &mut judges {
-            for what in judge.closes(at) {
-                book.breaks(at, judge.name(), what);
+        let mut invariants = std::mem::take(&mut state.invariants);
+        for invariant in &mut invariants {
+            for description in invariant.finish(at) {
+                state.add_violation(at, invariant.name(), description);
             }
         }
-        book.judges = judges;
+        state.invariants = invariants;
     }
 
     /// What broke so far.
-    pub fn breaches(&self) -> Vec<Breach> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner).breaches.clone()
+    pub fn violations(&self) -> Vec<Violation> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner).violations.clone()
     }
 
     /// How many entries there are that this holds for.
-    pub fn count(&self, of: impl Fn(&Seen) -> bool) -> usize {
-        let book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        book.entries.iter().filter(|entry| of(&entry.seen)).count()
+    pub fn count(&self, of: impl Fn(&Event) -> bool) -> usize {
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        state.entries.iter().filter(|entry| of(&entry.event)).count()
     }
 
     /// Writes the timeline: one JSON object to a line, in order of time.
@@ -275,14 +298,14 @@
     /// # Errors
     /// The file cannot be written.
     pub fn write(&self, path: &Path) -> std::io::Result<()> {
-        let book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
+        let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
-        for entry in &book.entries {
-            let at_ms = entry.at_ms - book.begin.ms();
-            writeln!(file, "{}", serde_json::to_string(&Entry { at_ms, seen: entry.seen.clone() })?)?;
+        for entry in &state.entries {
+            let at_ms = entry.at_ms - state.start.ms();
+            writeln!(file, "{}", serde_json::to_string(&Entry { at_ms, event: entry.event.clone() })?)?;
         }
-        if book.left_out > 0 {
-            writeln!(file, "{{\"left_out\":{}}}", book.left_out)?;
+        if state.omitted > 0 {
+            writeln!(file, "{{\"left_out\":{}}}", state.omitted)?;
         }
         file.flush()
     }
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/invariants.rs
@@ -5,53 +5,55 @@
 use rookspoke_decisions::{Span, Time};
 use serde::Serialize;
 
+use crate::event_log::{Event, ProcessEvent, RequestOutcome};
 use crate::job::JobId;
-use crate::seen::{End, Life, Seen};
 
 /// Something that must hold all the time.
 pub trait Invariant: Send {
     /// Its name in reports.
     fn name(&self) -> &str;
-    /// Hears what was seen, in order; says what it breaks.
-    fn sees(&mut self, at: Time, seen: &Seen) -> Option<String>;
+    /// Hears what was event, in order; says what it breaks.
+    fn observe(&mut self, at: Time, event: &Event) -> Option<String>;
     /// The play is over: what is still owed?
-    fn closes(&mut self, _at: Time) -> Vec<String> {
+    fn finish(&mut self, _at: Time) -> Vec<String> {
         Vec::new()
     }
 }
 
 /// A rule that was broken.
 #[derive(Clone, Debug, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// When, in milliseconds from the start.
     pub at_ms: f64,
     /// The rule.
     pub rule: String,
     /// What happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The lines of the timeline before it.
-    pub around: Vec<String>,
+    #[serde(rename = "around")]
+    pub preceding_events: Vec<String>,
 }
 
 /// The rules' times.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowed {
+pub struct Tolerances {
     /// How long after the deadline an answer counts.
-    pub answer: Span,
+    pub answer_slack: Span,
     /// How long sends to a log worker go on after its drain was told.
-    pub drain: Span,
+    pub drain_grace: Span,
     /// What a request takes from a dispatcher to a log worker.
     pub transit: Span,
 }
 
 /// The rules, and that a daemon's figures are true.
-pub fn all(allowed: Allowed) -> Vec<Box<dyn Invariant>> {
+pub fn all_invariants(tolerances: Tolerances) -> Vec<Box<dyn Invariant>> {
     vec![
-        Box::new(OneAnswer::new(allowed.answer)),
+        Box::new(OneAnswer::new(tolerances.answer_slack)),
         Box::new(NoDuplicate::default()),
-        Box::new(CleanDrain::new(allowed.drain)),
-        Box::new(TrueDeadline::new(allowed.transit)),
-        Box::new(NoLateAttempt::new(allowed.transit)),
+        Box::new(CleanDrain::new(tolerances.drain_grace)),
+        Box::new(TrueDeadline::new(tolerances.transit)),
+        Box::new(NoLateAttempt::new(tolerances.transit)),
         Box::new(GentleStart),
         Box::new(TrueFigures),
         Box::new(NoCrash),
@@ -79,22 +81,22 @@
 struct Outages(HashMap<usize, Outage>);
 
 impl Outages {
-    fn sees(&mut self, at: Time, seen: &Seen) {
-        let Seen::Dispatcher { dispatcher, life } = seen else { return };
+    fn observe(&mut self, at: Time, event: &Event) {
+        let Event::Dispatcher { dispatcher, event: process_event } = event else { return };
         let none = Outage { now: None, last: Time(i64::MIN), terminated: None, killed: false };
         let one = self.0.entry(*dispatcher).or_insert(none);
-        match life {
-            Life::Terminated => one.terminated = Some(at),
-            Life::Killed if one.terminated.is_some() => one.killed = true,
-            Life::Ended if one.terminated.is_some() => {}
-            Life::Killed | Life::Ended | Life::Stopped | Life::Crashed => {
+        match process_event {
+            ProcessEvent::Terminated => one.terminated = Some(at),
+            ProcessEvent::Killed if one.terminated.is_some() => one.killed = true,
+            ProcessEvent::Exited if one.terminated.is_some() => {}
+            ProcessEvent::Killed | ProcessEvent::Exited | ProcessEvent::Stopped | ProcessEvent::Crashed => {
                 (one.now, one.last) = (one.now.or(Some(at)), at)
             }
-            Life::Ready | Life::Resumed => {
-                let terminated = one.terminated.filter(|_| *life == Life::Resumed);
+            ProcessEvent::Ready | ProcessEvent::Resumed => {
+                let terminated = one.terminated.filter(|_| *process_event == ProcessEvent::Resumed);
                 *one = Outage { now: None, last: at, terminated, killed: one.killed && terminated.is_some() }
             }
-            Life::Started => {}
+            ProcessEvent::Started => {}
         }
     }
 
@@ -143,33 +145,35 @@
         "one answer"
     }
 
-    fn sees(&mut self, at: Time, seen: &Seen) -> Option<String> {
-        self.outages.sees(at, seen);
-        match seen {
-            Seen::Sent { id, dispatcher, deadline_ms, .. } => {
+    fn observe(&mut self, at: Time, event: &Event) -> Option<String> {
+        self.outages.observe(at, event);
+        match event {
+            Event::Sent { id, dispatcher, deadline_ms, .. } => {
                 let (dispatcher, deadline) = (*dispatcher, Time::from_ms(*deadline_ms));
                 self.open.insert(*id, OpenJob { dispatcher, sent: at, deadline, reached: false });
                 None
             }
-            Seen::Reached { id, .. } => {
+            Event::Reached { id, .. } => {
                 if let Some(job) = self.open.get_mut(id) {
                     job.reached = true;
                 }
                 None
             }
-            Seen::Closed { id, end, .. } => {
+            Event::Closed { id, outcome, .. } => {
                 let id = *id;
                 let Some(OpenJob { dispatcher, sent, deadline, reached }) = self.open.remove(&id) else {
                     return Some(format!("job {} ended twice", JobId(id)));
                 };
-                let what = match end {
-                    End::Unreached => return None,
-                    End::Lost => "was lost with its connection",
-                    End::GivenUp => "got no answer",
-                    End::Served | End::Refused | End::Failed if at > deadline + self.slack => {
+                let what = match outcome {
+                    RequestOutcome::NotConnected => return None,
+                    RequestOutcome::ConnectionLost => "was lost with its connection",
+                    RequestOutcome::TimedOut => "got no answer",
+                    RequestOutcome::Served | RequestOutcome::Refused | RequestOutcome::Failed
+                        if at > deadline + self.slack =>
+                    {
                         "was answered after its deadline"
                     }
-                    End::Served | End::Refused | End::Failed => return None,
+                    RequestOutcome::Served | RequestOutcome::Refused | RequestOutcome::Failed => return None,
                 };
                 let excused = self.outages.excuse(dispatcher, sent, reached);
                 (!excused).then(|| format!("job {} of n{dispatcher} {what}", JobId(id)))
@@ -178,7 +182,7 @@
         }
     }
 
-    fn closes(&mut self, _: Time) -> Vec<String> {
+    fn finish(&mut self, _: Time) -> Vec<String> {
         let no_end =
             |(id, job): (u64, OpenJob)| format!("job {} of n{} has no end", JobId(id), job.dispatcher);
         let all = self.open.drain().map(no_end);
@@ -199,24 +203,24 @@
         "no duplicate"
     }
 
-    fn sees(&mut self, _: Time, seen: &Seen) -> Option<String> {
-        match seen {
-            Seen::Sent { id, once: true, .. } => drop(self.once.insert(*id)),
-            Seen::Reached { id, worker, .. } if self.once.contains(id) => {
+    fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
+        match event {
+            Event::Sent { id, once: true, .. } => drop(self.once.insert(*id)),
+            Event::Reached { id, worker, .. } if self.once.contains(id) => {
                 let runs = self.may_have_run.entry(*id).or_default();
                 *runs += 1;
                 if *runs > 1 {
                     return Some(format!("job {} must not run twice and reached w{worker} too", JobId(*id)));
                 }
             }
-            Seen::Away { id, .. } => {
+            Event::TurnedAway { id, .. } => {
                 if let Some(runs) = self.may_have_run.get_mut(id) {
                     *runs -= 1;
                 }
             }
-            Seen::Closed { id, end, .. } if self.once.contains(id) => {
+            Event::Closed { id, outcome, .. } if self.once.contains(id) => {
                 let ran = self.may_have_run.get(id).is_some_and(|runs| *runs > 0);
-                if *end == End::Refused && ran {
+                if *outcome == RequestOutcome::Refused && ran {
                     return Some(format!("job {} may have run and was refused", JobId(*id)));
                 }
             }
@@ -244,17 +248,19 @@
         "clean drain"
     }
 
-    fn sees(&mut self, at: Time, seen: &Seen) -> Option<String> {
-        match seen {
-            Seen::Told { dispatcher, worker, takes: true } => drop(self.told.remove(&(*dispatcher, *worker))),
-            Seen::Told { dispatcher, worker, takes: false } => {
+    fn observe(&mut self, at: Time, event: &Event) -> Option<String> {
+        match event {
+            Event::Notified { dispatcher, worker, accepts_work: true } => {
+                self.told.remove(&(*dispatcher, *worker));
+            }
+            Event::Notified { dispatcher, worker, accepts_work: false } => {
                 self.told.entry((*dispatcher, *worker)).or_insert(at);
             }
             // A new process knows only what it is told itself.
-            Seen::Dispatcher { dispatcher, life: Life::Started } => {
+            Event::Dispatcher { dispatcher, event: ProcessEvent::Started } => {
                 self.told.retain(|(of, _), _| of != dispatcher);
             }
-            Seen::Reached { id, worker, .. } => {
+            Event::Reached { id, worker, .. } => {
                 let dispatcher = JobId(*id).dispatcher();
                 let since = self.told.get(&(dispatcher, *worker))?;
                 if at - *since > self.grace {
@@ -281,7 +287,7 @@
 }
 
 impl TrueDeadline {
-    /// A judge of requests that take so long on their way at most.
+    /// A invariant of requests that take so long on their way at most.
     pub fn new(transit: Span) -> Self {
         TrueDeadline { transit, open: HashMap::new(), outages: Outages::default() }
     }
@@ -292,18 +298,18 @@
         "true deadline"
     }
 
-    fn sees(&mut self, at: Time, seen: &Seen) -> Option<String> {
-        self.outages.sees(at, seen);
-        match seen {
-            Seen::Sent { id, deadline_ms, .. } => {
+    fn observe(&mut self, at: Time, event: &Event) -> Option<String> {
+        self.outages.observe(at, event);
+        match event {
+            Event::Sent { id, deadline_ms, .. } => {
                 self.open.insert(*id, (at, Time::from_ms(*deadline_ms)));
                 None
             }
-            Seen::Closed { id, .. } => {
+            Event::Closed { id, .. } => {
                 self.open.remove(id);
                 None
             }
-            Seen::Reached { id, worker, left_ms } => {
+            Event::Reached { id, worker, left_ms } => {
                 let (sent, deadline) = *self.open.get(id)?;
                 let Some(left_ms) = left_ms else {
                     return Some(format!("job {} reached w{worker} without a deadline", JobId(*id)));
@@ -332,7 +338,7 @@
 }
 
 impl NoLateAttempt {
-    /// A judge of requests that take so long on their way at most.
+    /// A invariant of requests that take so long on their way at most.
     pub fn new(transit: Span) -> Self {
         NoLateAttempt { transit, ended: HashMap::new(), outages: Outages::default() }
     }
@@ -343,14 +349,14 @@
         "no late attempt"
     }
 
-    fn sees(&mut self, at: Time, seen: &Seen) -> Option<String> {
-        self.outages.sees(at, seen);
-        match seen {
-            Seen::Closed { id, .. } => {
+    fn observe(&mut self, at: Time, event: &Event) -> Option<String> {
+        self.outages.observe(at, event);
+        match event {
+            Event::Closed { id, .. } => {
                 self.ended.insert(*id, at);
                 None
             }
-            Seen::Reached { id, worker, .. } => {
+            Event::Reached { id, worker, .. } => {
                 let ended = *self.ended.get(id)?;
                 let late = at - ended > LEFT_GRACE + self.transit;
                 let excused = self.outages.was_out(JobId(*id).dispatcher(), ended);
@@ -372,9 +378,9 @@
         "gentle start"
     }
 
-    fn sees(&mut self, _: Time, seen: &Seen) -> Option<String> {
-        match seen {
-            Seen::Fell { worker, told: true } => Some(format!("w{worker} was pushed over")),
+    fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
+        match event {
+            Event::Overloaded { worker, notified: true } => Some(format!("w{worker} was pushed over")),
             _ => None,
         }
     }
@@ -388,10 +394,10 @@
         "true figures"
     }
 
-    fn sees(&mut self, _: Time, seen: &Seen) -> Option<String> {
-        match seen {
-            Seen::Figure { dispatcher, name, says, counted } if says != counted => {
-                Some(format!("n{dispatcher} says {name} {says}, clients counted {counted}"))
+    fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
+        match event {
+            Event::CounterCheck { dispatcher, name, reported, counted } if reported != counted => {
+                Some(format!("n{dispatcher} reports {name} {reported}, clients counted {counted}"))
             }
             _ => None,
         }
@@ -406,9 +412,9 @@
         "no crash"
     }
 
-    fn sees(&mut self, _: Time, seen: &Seen) -> Option<String> {
-        match seen {
-            Seen::Dispatcher { dispatcher, life: Life::Crashed } => {
+    fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
+        match event {
+            Event::Dispatcher { dispatcher, event: ProcessEvent::Crashed } => {
                 Some(format!("n{dispatcher} ended by itself"))
             }
             _ => None,
@@ -420,90 +426,100 @@
 mod tests {
     use super::*;
 
-    const ALLOWED: Allowed = Allowed { answer: Span(66_000), drain: Span(550_000), transit: Span(50_000) };
+    const TOLERANCES: Tolerances =
+        Tolerances { answer_slack: Span(66_000), drain_grace: Span(550_000), transit: Span(50_000) };
 
-    fn sent(id: u64, once: bool) -> Seen {
-        Seen::Sent { id, dispatcher: 0, once, deadline_ms: 1000.0 }
+    fn sent(id: u64, once: bool) -> Event {
+        Event::Sent { id, dispatcher: 0, once, deadline_ms: 1000.0 }
     }
 
-    fn closed(id: u64, end: End) -> Seen {
-        Seen::Closed { id, dispatcher: 0, end }
+    fn closed(id: u64, outcome: RequestOutcome) -> Event {
+        Event::Closed { id, dispatcher: 0, outcome }
     }
 
-    /// What breaks, by rule, when this is seen, each at its millisecond.
-    fn broken(story: &[(i64, Seen)]) -> Vec<String> {
-        let mut judges = all(ALLOWED);
+    /// What breaks, by rule, when this is event, each at its millisecond.
+    fn broken(story: &[(i64, Event)]) -> Vec<String> {
+        let mut invariants = all_invariants(TOLERANCES);
         let mut rules = Vec::new();
-        for (ms, seen) in story {
-            for judge in &mut judges {
-                rules.extend(judge.sees(Time(ms * 1000), seen).map(|_| judge.name().to_owned()));
+        for (ms, event) in story {
+            for invariant in &mut invariants {
+                rules.extend(invariant.observe(Time(ms * 1000), event).map(|_| invariant.name().to_owned()));
             }
         }
-        for judge in &mut judges {
-            rules.extend(judge.closes(Time(1 << 40)).into_iter().map(|_| judge.name().to_owned()));
+        for invariant in &mut invariants {
+            rules.extend(invariant.finish(Time(1 << 40)).into_iter().map(|_| invariant.name().to_owned()));
         }
         rules
     }
 
     #[test]
     fn each_job_is_owed_one_answer_in_time() {
-        let life = |life| Seen::Dispatcher { dispatcher: 0, life };
-        assert!(broken(&[(0, sent(1, false)), (1066, closed(1, End::Served))]).is_empty());
+        let process = |event| Event::Dispatcher { dispatcher: 0, event };
+        assert!(broken(&[(0, sent(1, false)), (1066, closed(1, RequestOutcome::Served))]).is_empty());
         let cases = [
-            vec![(0, sent(1, false)), (1067, closed(1, End::Served))],
-            vec![(0, sent(1, false)), (5, closed(1, End::Lost))],
-            vec![(0, sent(1, false)), (1070, closed(1, End::GivenUp))],
-            vec![(0, sent(1, false)), (5, closed(1, End::Failed)), (6, closed(1, End::Served))],
+            vec![(0, sent(1, false)), (1067, closed(1, RequestOutcome::Served))],
+            vec![(0, sent(1, false)), (5, closed(1, RequestOutcome::ConnectionLost))],
+            vec![(0, sent(1, false)), (1070, closed(1, RequestOutcome::TimedOut))],
+            vec![
+                (0, sent(1, false)),
+                (5, closed(1, RequestOutcome::Failed)),
+                (6, closed(1, RequestOutcome::Served)),
+            ],
             vec![(0, sent(1, false))],
             // It was out before the job came, and is up.
             vec![
-                (0, life(Life::Stopped)),
-                (5, life(Life::Resumed)),
+                (0, process(ProcessEvent::Stopped)),
+                (5, process(ProcessEvent::Resumed)),
                 (6, sent(1, false)),
-                (7, closed(1, End::Lost)),
+                (7, closed(1, RequestOutcome::ConnectionLost)),
             ],
         ];
         for story in cases {
             assert_eq!(broken(&story), ["one answer"], "{story:?}");
         }
-        let killed = [(0, sent(1, false)), (4, life(Life::Killed)), (5, closed(1, End::Lost))];
+        let killed = [
+            (0, sent(1, false)),
+            (4, process(ProcessEvent::Killed)),
+            (5, closed(1, RequestOutcome::ConnectionLost)),
+        ];
         assert!(broken(&killed).is_empty(), "whoever killed it is to blame");
     }
 
     #[test]
     fn a_dispatcher_that_was_told_to_end_owes_what_came_late_or_was_cut_off_by_itself() {
-        let life = |life| Seen::Dispatcher { dispatcher: 0, life };
-        let reached = Seen::Reached { id: 1, worker: 2, left_ms: Some(0.0) };
-        let lost_after = |sent_at: i64, end: Life, is_reached: bool| {
-            let mut story = vec![(0, life(Life::Terminated)), (sent_at, sent(1, false))];
+        let process = |event| Event::Dispatcher { dispatcher: 0, event };
+        let reached = Event::Reached { id: 1, worker: 2, left_ms: Some(0.0) };
+        let lost_after = |sent_at: i64, end: ProcessEvent, is_reached: bool| {
+            let mut story = vec![(0, process(ProcessEvent::Terminated)), (sent_at, sent(1, false))];
             story.extend(is_reached.then(|| (sent_at + 1, reached.clone())));
-            story.extend([(900, life(end)), (901, closed(1, End::Lost))]);
+            story.extend([(900, process(end)), (901, closed(1, RequestOutcome::ConnectionLost))]);
             !broken(&story).is_empty()
         };
-        assert!(!lost_after(700, Life::Killed, true), "it may be open at the kill");
-        assert!(lost_after(701, Life::Killed, true));
-        assert!(lost_after(100, Life::Ended, true), "it ended before its answer");
-        assert!(!lost_after(701, Life::Ended, false), "it crossed the end of its connection");
+        assert!(!lost_after(700, ProcessEvent::Killed, true), "it may be open at the kill");
+        assert!(lost_after(701, ProcessEvent::Killed, true));
+        assert!(lost_after(100, ProcessEvent::Exited, true), "it ended before its answer");
+        assert!(!lost_after(701, ProcessEvent::Exited, false), "it crossed the end of its connection");
         // The next process is not excused by the end of the last.
         let next = [
-            (0, life(Life::Terminated)),
-            (5, life(Life::Killed)),
-            (9, life(Life::Ready)),
+            (0, process(ProcessEvent::Terminated)),
+            (5, process(ProcessEvent::Killed)),
+            (9, process(ProcessEvent::Ready)),
             (10, sent(1, false)),
         ];
-        let story = [next.to_vec(), vec![(11, closed(1, End::Lost))]].concat();
+        let story = [next.to_vec(), vec![(11, closed(1, RequestOutcome::ConnectionLost))]].concat();
         assert_eq!(broken(&story), ["one answer"]);
     }
 
     #[test]
     fn what_may_have_run_is_neither_sent_again_nor_refused() {
-        let reached = |id| Seen::Reached { id, worker: 2, left_ms: Some(0.0) };
-        let away = |id| Seen::Away { id, worker: 2 };
+        let reached = |id| Event::Reached { id, worker: 2, left_ms: Some(0.0) };
+        let away = |id| Event::TurnedAway { id, worker: 2 };
         let end = |end| (9, closed(1, end));
-        let twice = |once| vec![(0, sent(1, once)), (1, reached(1)), (2, reached(1)), end(End::Served)];
+        let twice =
+            |once| vec![(0, sent(1, once)), (1, reached(1)), (2, reached(1)), end(RequestOutcome::Served)];
         assert_eq!(broken(&twice(true)), ["no duplicate"]);
         assert!(broken(&twice(false)).is_empty());
-        let refused = vec![(0, sent(1, true)), (1, reached(1)), end(End::Refused)];
+        let refused = vec![(0, sent(1, true)), (1, reached(1)), end(RequestOutcome::Refused)];
         assert_eq!(broken(&refused), ["no duplicate"]);
         let story = vec![
             (0, sent(1, true)),
@@ -511,57 +527,61 @@
             (2, away(1)),
             (3, reached(1)),
             (4, away(1)),
-            end(End::Refused),
+            end(RequestOutcome::Refused),
         ];
         assert!(broken(&story).is_empty(), "it never ran");
     }
 
     #[test]
     fn the_first_word_of_a_drain_counts_and_a_new_process_knows_nothing_of_it() {
-        let told = |takes| Seen::Told { dispatcher: 0, worker: 2, takes };
+        let notified = |accepts_work| Event::Notified { dispatcher: 0, worker: 2, accepts_work };
         let job = |at| {
             vec![
                 (at, sent(1, false)),
-                (at, Seen::Reached { id: 1, worker: 2, left_ms: Some(0.0) }),
-                (at, closed(1, End::Served)),
+                (at, Event::Reached { id: 1, worker: 2, left_ms: Some(0.0) }),
+                (at, closed(1, RequestOutcome::Served)),
             ]
         };
-        let story = |rest| [vec![(0, told(false)), (300, told(false))], rest].concat();
+        let story = |rest| [vec![(0, notified(false)), (300, notified(false))], rest].concat();
         assert!(broken(&story(job(550))).is_empty());
         assert_eq!(broken(&story(job(551))), ["clean drain"]);
-        assert!(broken(&[story(vec![(400, told(true))]), job(900)].concat()).is_empty());
-        let again = (500, Seen::Dispatcher { dispatcher: 0, life: Life::Started });
+        assert!(broken(&[story(vec![(400, notified(true))]), job(900)].concat()).is_empty());
+        let again = (500, Event::Dispatcher { dispatcher: 0, event: ProcessEvent::Started });
         assert!(broken(&[story(vec![again]), job(900)].concat()).is_empty());
     }
 
     #[test]
     fn a_log_worker_is_told_no_more_time_than_its_client_has_left() {
-        let reached = |left_ms| Seen::Reached { id: 1, worker: 2, left_ms };
-        let at_700 =
-            |left_ms| broken(&[(0, sent(1, false)), (700, reached(left_ms)), (800, closed(1, End::Served))]);
+        let reached = |left_ms| Event::Reached { id: 1, worker: 2, left_ms };
+        let at_700 = |left_ms| {
+            broken(&[(0, sent(1, false)), (700, reached(left_ms)), (800, closed(1, RequestOutcome::Served))])
+        };
         assert!(at_700(Some(500.0)).is_empty(), "300 ms, the slack and the way");
         assert_eq!(at_700(Some(501.0)), ["true deadline"]);
         assert_eq!(at_700(None), ["true deadline"]);
-        let held_up = [(0, sent(1, false)), (10, Seen::Dispatcher { dispatcher: 0, life: Life::Stopped })];
-        let story = [held_up.to_vec(), vec![(700, reached(Some(900.0))), (800, closed(1, End::Served))]];
+        let held_up =
+            [(0, sent(1, false)), (10, Event::Dispatcher { dispatcher: 0, event: ProcessEvent::Stopped })];
+        let story =
+            [held_up.to_vec(), vec![(700, reached(Some(900.0))), (800, closed(1, RequestOutcome::Served))]];
         assert!(broken(&story.concat()).is_empty(), "it stood still on the way");
     }
 
     #[test]
     fn nothing_is_sent_for_a_job_that_is_over() {
-        let reached = |at| (at, Seen::Reached { id: 1, worker: 2, left_ms: Some(0.0) });
-        let gone = [(0, sent(1, false)), (100, closed(1, End::Failed))];
+        let reached = |at| (at, Event::Reached { id: 1, worker: 2, left_ms: Some(0.0) });
+        let gone = [(0, sent(1, false)), (100, closed(1, RequestOutcome::Failed))];
         assert!(broken(&[gone.to_vec(), vec![reached(250)]].concat()).is_empty());
         assert_eq!(broken(&[gone.to_vec(), vec![reached(251)]].concat()), ["no late attempt"]);
     }
 
     #[test]
     fn falls_figures_and_ends_are_judged() {
-        assert_eq!(broken(&[(0, Seen::Fell { worker: 1, told: true })]), ["gentle start"]);
-        assert!(broken(&[(0, Seen::Fell { worker: 1, told: false })]).is_empty());
-        let figure = |says| (0, Seen::Figure { dispatcher: 0, name: "passed", says, counted: 4 });
+        assert_eq!(broken(&[(0, Event::Overloaded { worker: 1, notified: true })]), ["gentle start"]);
+        assert!(broken(&[(0, Event::Overloaded { worker: 1, notified: false })]).is_empty());
+        let figure =
+            |reported| (0, Event::CounterCheck { dispatcher: 0, name: "passed", reported, counted: 4 });
         assert_eq!((broken(&[figure(4)]).len(), broken(&[figure(5)])), (0, vec!["true figures".to_owned()]));
-        let crash = Seen::Dispatcher { dispatcher: 0, life: Life::Crashed };
+        let crash = Event::Dispatcher { dispatcher: 0, event: ProcessEvent::Crashed };
         assert_eq!(broken(&[(0, crash)]), ["no crash"]);
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -7,17 +7,17 @@
 
 pub mod ask;
 pub mod clock;
+pub mod discovery;
 pub mod dispatcher;
+pub mod event_log;
+pub mod invariants;
 pub mod job;
-pub mod judge;
 pub mod keeper;
 pub mod link;
 pub mod load;
 pub mod places;
-pub mod plant;
 pub mod play;
-pub mod registry;
-pub mod seen;
-mod serve;
+mod response;
 pub mod soak;
 pub mod ways;
+pub mod worker_pool;
--- a/crates/rig/src/link/mod.rs
+++ b/crates/rig/src/link/mod.rs
@@ -3,13 +3,13 @@
 //! A link that breaks nothing changes nothing but a fraction of a millisecond. What it does to which piece is drawn
 //! from its seed, its direction and the piece's number, so one seed disturbs the same pieces again.
 
-mod fate;
+mod delivery;
 mod tcp;
 mod udp;
 
 use std::sync::Arc;
 
-pub use fate::{Direction, Fate};
+pub use delivery::{Delivery, Direction};
 pub use rookspoke_emulator::scenario::Faults;
 pub use tcp::TcpLink;
 use tokio::sync::watch;
@@ -17,23 +17,23 @@
 
 /// What disturbs a link at present; clones are the same control.
 #[derive(Clone, Debug)]
-pub struct Control {
-    there: Arc<watch::Sender<Faults>>,
-    back: Arc<watch::Sender<Faults>>,
+pub struct LinkControl {
+    forward: Arc<watch::Sender<Faults>>,
+    backward: Arc<watch::Sender<Faults>>,
 }
 
-impl Default for Control {
+impl Default for LinkControl {
     fn default() -> Self {
         let faults = || Arc::new(watch::Sender::new(Faults::default()));
-        Control { there: faults(), back: faults() }
+        LinkControl { forward: faults(), backward: faults() }
     }
 }
 
-impl Control {
+impl LinkControl {
     /// Disturbs the way there and the way back from now on, connections that are open included.
-    pub fn set(&self, there: Faults, back: Faults) {
-        self.there.send_replace(there);
-        self.back.send_replace(back);
+    pub fn set(&self, forward: Faults, backward: Faults) {
+        self.forward.send_replace(forward);
+        self.backward.send_replace(backward);
     }
 
     /// Nothing is disturbed any more. What was held comes through.
@@ -42,7 +42,7 @@
     }
 
     /// Nothing comes through either way; connections stay open.
-    pub fn silence(&self) {
+    pub fn cut_both_ways(&self) {
         let cut = Faults { cut: true, ..Faults::default() };
         self.set(cut, cut);
     }
@@ -58,8 +58,8 @@
 
     fn sender(&self, direction: Direction) -> &watch::Sender<Faults> {
         match direction {
-            Direction::There => &self.there,
-            Direction::Back => &self.back,
+            Direction::Forward => &self.forward,
+            Direction::Backward => &self.backward,
         }
     }
 }
--- a/crates/rig/src/link/tcp.rs
+++ b/crates/rig/src/link/tcp.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, Instant};
 
-use super::{Control, Direction, Fate, Faults};
+use super::{Delivery, Direction, Faults, LinkControl};
 use crate::clock::duration;
 
 /// The largest piece, in bytes.
@@ -33,7 +33,7 @@
     /// Where to connect.
     pub address: SocketAddr,
     /// What disturbs it.
-    pub control: Control,
+    pub control: LinkControl,
     target: Arc<Mutex<SocketAddr>>,
     task: JoinHandle<()>,
 }
@@ -49,7 +49,12 @@
     ///
     /// # Errors
     /// The address is taken, or there is no descriptor for it.
-    pub async fn open(at: SocketAddr, target: SocketAddr, control: Control, seed: u64) -> io::Result<Self> {
+    pub async fn open(
+        at: SocketAddr,
+        target: SocketAddr,
+        control: LinkControl,
+        seed: u64,
+    ) -> io::Result<Self> {
         let listener = TcpListener::bind(at).await?;
         let address = listener.local_addr()?;
         let target = Arc::new(Mutex::new(target));
@@ -58,7 +63,7 @@
     }
 
     /// New connections lead there from now on.
-    pub fn lead_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
 }
@@ -67,11 +72,11 @@
     listener: TcpListener,
     address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
-    control: Control,
+    control: LinkControl,
     seed: u64,
 ) {
     let mut listener = Some(listener);
-    let mut faults = control.watch(Direction::There);
+    let mut faults = control.watch(Direction::Forward);
     let room = Arc::new(Semaphore::new(CONNECTIONS));
     let pieces = Arc::new([AtomicU64::new(0), AtomicU64::new(0)]);
     loop {
@@ -122,7 +127,7 @@
 async fn join(
     mut near: TcpStream,
     to: SocketAddr,
-    control: &Control,
+    control: &LinkControl,
     seed: u64,
     pieces: &Arc<[AtomicU64; 2]>,
 ) {
@@ -135,8 +140,8 @@
         let ((near_in, near_out), (far_in, far_out)) = (near.split(), far.split());
         // A way that ends well leaves the other open; one that breaks takes it along.
         tokio::try_join!(
-            way(Direction::There).lead(near_in, far_out),
-            way(Direction::Back).lead(far_in, near_out)
+            way(Direction::Forward).lead(near_in, far_out),
+            way(Direction::Backward).lead(far_in, near_out)
         )
     };
     if ended.is_err() {
@@ -195,7 +200,7 @@
             let number = self.pieces[self.direction as usize].fetch_add(1, Ordering::Relaxed);
             // What is lost on the way is sent again by the system: connections know delay alone.
             let sure = Faults { cut: false, loss: 0.0, duplicate: 0.0, reorder: 0.0, ..faults };
-            let late = Fate::of(&sure, self.seed, self.direction, number).copies.first().copied();
+            let late = Delivery::draw(&sure, self.seed, self.direction, number).copies.first().copied();
             let late = duration(late.unwrap_or(Span(0)));
             last = last.max(Instant::now() + late);
             let piece = match read {
--- a/crates/rig/src/link/udp.rs
+++ b/crates/rig/src/link/udp.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinHandle;
 
-use super::{Control, Direction, Fate};
+use super::{Delivery, Direction, LinkControl};
 use crate::clock::duration;
 
 /// The largest datagram.
@@ -22,25 +22,29 @@
 /// Senders that a link knows, each with a socket of its own; datagrams of more are lost, and counted.
 const SENDERS: usize = 1024;
 
-/// What became of datagrams, in the order they came.
+/// What became of datagrams, in the order they received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct UdpCounts {
-    /// Datagrams that came.
-    pub came: u64,
+    /// Datagrams that received.
+    #[serde(rename = "came")]
+    pub received: u64,
     /// Copies that went on.
-    pub went: u64,
+    #[serde(rename = "went")]
+    pub forwarded: u64,
     /// Datagrams lost by the script.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub dropped: u64,
     /// Datagrams lost for want of room in the rig: a play with some is void.
-    pub no_room: u64,
+    #[serde(rename = "no_room")]
+    pub over_capacity: u64,
 }
 
 #[derive(Debug, Default)]
 struct Counters {
-    came: [AtomicU64; 2],
-    went: AtomicU64,
-    lost: AtomicU64,
-    no_room: AtomicU64,
+    received: [AtomicU64; 2],
+    forwarded: AtomicU64,
+    dropped: AtomicU64,
+    over_capacity: AtomicU64,
 }
 
 /// A link for datagrams: what is sent to its address comes out at its target, and answers come back.
@@ -49,7 +53,7 @@
     /// Where to send to.
     pub address: SocketAddr,
     /// What disturbs it.
-    pub control: Control,
+    pub control: LinkControl,
     counters: Arc<Counters>,
     task: JoinHandle<()>,
 }
@@ -65,7 +69,12 @@
     ///
     /// # Errors
     /// The address is taken, or there is no descriptor for it.
-    pub async fn open(at: SocketAddr, target: SocketAddr, control: Control, seed: u64) -> io::Result<Self> {
+    pub async fn open(
+        at: SocketAddr,
+        target: SocketAddr,
+        control: LinkControl,
+        seed: u64,
+    ) -> io::Result<Self> {
         let front = Arc::new(UdpSocket::bind(at).await?);
         let address = front.local_addr()?;
         let counters: Arc<Counters> = Arc::default();
@@ -83,10 +92,10 @@
     pub fn counts(&self) -> UdpCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         UdpCounts {
-            came: self.counters.came.iter().map(read).sum(),
-            went: read(&self.counters.went),
-            lost: read(&self.counters.lost),
-            no_room: read(&self.counters.no_room),
+            received: self.counters.received.iter().map(read).sum(),
+            forwarded: read(&self.counters.forwarded),
+            dropped: read(&self.counters.dropped),
+            over_capacity: read(&self.counters.over_capacity),
         }
     }
 }
@@ -94,7 +103,7 @@
 #[derive(Clone)]
 struct Way {
     seed: u64,
-    control: Control,
+    control: LinkControl,
     counters: Arc<Counters>,
     room: Arc<Semaphore>,
 }
@@ -102,26 +111,26 @@
 impl Way {
     /// Sends a datagram on as the link has it now. No receiver is connected to: an address without one is silence.
     async fn pass(&self, direction: Direction, data: &[u8], by: &Arc<UdpSocket>, to: SocketAddr) {
-        let number = self.counters.came[direction as usize].fetch_add(1, Ordering::Relaxed);
-        let fate = Fate::of(&self.control.faults(direction), self.seed, direction, number);
-        if fate.copies.is_empty() {
-            self.counters.lost.fetch_add(1, Ordering::Relaxed);
+        let number = self.counters.received[direction as usize].fetch_add(1, Ordering::Relaxed);
+        let delivery = Delivery::draw(&self.control.faults(direction), self.seed, direction, number);
+        if delivery.copies.is_empty() {
+            self.counters.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        for late in fate.copies {
+        for late in delivery.copies {
             if late <= Span(0) {
                 let sent = by.send_to(data, to).await.is_ok();
-                self.counters.went.fetch_add(u64::from(sent), Ordering::Relaxed);
+                self.counters.forwarded.fetch_add(u64::from(sent), Ordering::Relaxed);
                 continue;
             }
             let Ok(permit) = self.room.clone().try_acquire_owned() else {
-                self.counters.no_room.fetch_add(1, Ordering::Relaxed);
+                self.counters.over_capacity.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             let (data, by, counters) = (data.to_vec(), by.clone(), self.counters.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(duration(late)).await;
                 let sent = by.send_to(&data, to).await.is_ok();
-                counters.went.fetch_add(u64::from(sent), Ordering::Relaxed);
+                counters.forwarded.fetch_add(u64::from(sent), Ordering::Relaxed);
                 drop(permit);
             });
         }
@@ -146,7 +155,7 @@
         if !senders.contains_key(&from) {
             let room = senders.len() < SENDERS;
             let Some(far) = (if room { UdpSocket::bind(own).await.ok() } else { None }) else {
-                way.counters.no_room.fetch_add(1, Ordering::Relaxed);
+                way.counters.over_capacity.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             let far = Arc::new(far);
@@ -154,7 +163,7 @@
             senders.insert(from, (far, Answers(answers)));
         }
         let (far, _) = &senders[&from];
-        way.pass(Direction::There, &buffer[..length], far, target).await;
+        way.pass(Direction::Forward, &buffer[..length], far, target).await;
     }
 }
 
@@ -162,6 +171,6 @@
     let mut buffer = vec![0; MOST];
     loop {
         let Ok((length, _)) = far.recv_from(&mut buffer).await else { continue };
-        way.pass(Direction::Back, &buffer[..length], &front, to).await;
+        way.pass(Direction::Backward, &buffer[..length], &front, to).await;
     }
 }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -22,9 +22,9 @@
 use tokio::net::TcpStream;
 
 use crate::clock::Lateness;
+use crate::event_log::{Event, EventLog, RequestOutcome};
 use crate::job::JobId;
-use crate::plant::Facts;
-use crate::seen::{End, Seen, Watch};
+use crate::worker_pool::JobBody;
 
 /// On sockets every time limit is this much longer.
 pub const SOCKET_SLACK: Span = Span(50_000);
@@ -35,65 +35,65 @@
 
 /// What the front, which deals out connections, knows of a dispatcher.
 #[derive(Debug)]
-pub struct Seat {
+pub struct Backend {
     /// Where clients reach it, through a link or not.
     pub address: Mutex<Option<SocketAddr>>,
     /// The front has it in.
-    pub in_front: AtomicBool,
+    pub in_rotation: AtomicBool,
     idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
     /// Counts its processes.
     epoch: AtomicU64,
     /// How many jobs ended so, as clients saw it.
     served: AtomicU64,
-    unclear: AtomicU64,
+    indeterminate: AtomicU64,
 }
 
-impl Seat {
+impl Backend {
     /// One that the front does not have in.
     pub fn new() -> Self {
-        Seat {
+        Backend {
             address: Mutex::default(),
-            in_front: AtomicBool::new(false),
+            in_rotation: AtomicBool::new(false),
             idle: Mutex::default(),
             epoch: AtomicU64::new(0),
             served: AtomicU64::new(0),
-            unclear: AtomicU64::new(0),
+            indeterminate: AtomicU64::new(0),
         }
     }
 
     /// One that the front has in, at this address.
-    pub fn at(address: SocketAddr) -> Self {
-        let seat = Seat::new();
-        seat.takes(address);
-        seat
+    pub fn in_rotation_at(address: SocketAddr) -> Self {
+        let backend = Backend::new();
+        backend.add_to_rotation(address);
+        backend
     }
 
     /// The front has it in, at this address.
-    pub fn takes(&self, address: SocketAddr) {
+    pub fn add_to_rotation(&self, address: SocketAddr) {
         *lock(&self.address) = Some(address);
-        self.in_front.store(true, Ordering::Relaxed);
+        self.in_rotation.store(true, Ordering::Relaxed);
     }
 
     /// Whether clients use it: the front has it in, or a connection to it is still open.
     fn is_used(&self) -> bool {
-        self.in_front.load(Ordering::Relaxed) || lock(&self.idle).iter().any(SendRequest::is_ready)
+        self.in_rotation.load(Ordering::Relaxed) || lock(&self.idle).iter().any(SendRequest::is_ready)
     }
 
     /// Its process is gone: connections lead nowhere, and counts begin anew with the next.
-    pub fn is_gone(&self) {
+    pub fn process_ended(&self) {
         self.epoch.fetch_add(1, Ordering::Relaxed);
         lock(&self.idle).clear();
         self.served.store(0, Ordering::Relaxed);
-        self.unclear.store(0, Ordering::Relaxed);
+        self.indeterminate.store(0, Ordering::Relaxed);
     }
 
     /// Jobs that it served; none where it cannot be known, since a connection broke or a client gave up.
     pub fn served(&self) -> Option<u64> {
-        (self.unclear.load(Ordering::Relaxed) == 0).then(|| self.served.load(Ordering::Relaxed))
+        (self.indeterminate.load(Ordering::Relaxed) == 0).then(|| self.served.load(Ordering::Relaxed))
     }
 }
 
-impl Default for Seat {
+impl Default for Backend {
     fn default() -> Self {
         Self::new()
     }
@@ -105,7 +105,7 @@
 
 /// What clients counted.
 #[derive(Clone, Debug)]
-pub struct Counted {
+pub struct LoadCounts {
     /// Each job that was asked for.
     pub asked: Vec<Asked>,
     /// Time to an answer, from when it was meant to be sent, in microseconds.
@@ -124,26 +124,32 @@
 
 /// The clients of a play. Clones are the same.
 #[derive(Clone)]
-pub struct Load(Arc<Inner>);
+pub struct LoadGenerator(Arc<Inner>);
 
 struct Inner {
     s: Scenario,
-    seats: Arc<Vec<Seat>>,
-    watch: Watch,
+    backends: Arc<Vec<Backend>>,
+    event_log: EventLog,
     lateness: Lateness,
-    counted: Mutex<Counted>,
+    counted: Mutex<LoadCounts>,
     rng: Mutex<SmallRng>,
     next: AtomicU64,
     /// No retries any more: the play ends.
     ending: AtomicBool,
 }
 
-impl Load {
+impl LoadGenerator {
     /// Clients of these dispatchers.
-    pub fn new(s: &Scenario, seed: u64, seats: Arc<Vec<Seat>>, watch: Watch, lateness: Lateness) -> Self {
+    pub fn new(
+        s: &Scenario,
+        seed: u64,
+        backends: Arc<Vec<Backend>>,
+        event_log: EventLog,
+        lateness: Lateness,
+    ) -> Self {
         // Three digits, from 1 us to an hour.
         let latency = Histogram::new_with_bounds(1, 3_600_000_000, 3);
-        let counted = Counted {
+        let counted = LoadCounts {
             asked: Vec::new(),
             latency: latency.unwrap_or_else(|_| unreachable!("bounds that hold")),
             served: 0,
@@ -152,10 +158,10 @@
             retries: 0,
             late: vec![0; s.classes.len()],
         };
-        Load(Arc::new(Inner {
+        LoadGenerator(Arc::new(Inner {
             s: s.clone(),
-            seats,
-            watch,
+            backends,
+            event_log,
             lateness,
             counted: Mutex::new(counted),
             rng: Mutex::new(stream(seed, Stream::Retry, 1)),
@@ -165,13 +171,13 @@
     }
 
     /// What was counted so far.
-    pub fn counted(&self) -> Counted {
+    pub fn counts(&self) -> LoadCounts {
         lock(&self.0.counted).clone()
     }
 
     /// Sends all arrivals, each at its time after `begin`, and waits for what becomes of them.
     pub async fn run(&self, begin: Time, arrivals: &[Arrival]) {
-        let clock = self.0.watch.clock();
+        let clock = self.0.event_log.clock();
         let mut all = tokio::task::JoinSet::new();
         for arrival in arrivals {
             let meant = begin + (arrival.asked - Time(0));
@@ -193,7 +199,7 @@
     /// One job, to its end: with its retries.
     async fn job(&self, number: usize, arrival: Arrival) {
         let class = &self.0.s.classes[arrival.class];
-        let clock = self.0.watch.clock();
+        let clock = self.0.event_log.clock();
         let mut tries = 0;
         loop {
             tries += 1;
@@ -202,7 +208,7 @@
             {
                 let mut counted = lock(&self.0.counted);
                 match end {
-                    End::Served => {
+                    RequestOutcome::Served => {
                         let took = now - arrival.asked;
                         let aim = class.get("aim") / 1000.0 + class.get("stretch") * arrival.work;
                         counted.asked[number].in_time = took.secs() <= aim;
@@ -211,13 +217,17 @@
                         counted.latency.saturating_record(took.0.max(1) as u64);
                         return;
                     }
-                    End::Refused => counted.refused += 1,
-                    End::Failed | End::Lost | End::Unreached | End::GivenUp => counted.failed += 1,
+                    RequestOutcome::Refused => counted.refused += 1,
+                    RequestOutcome::Failed
+                    | RequestOutcome::ConnectionLost
+                    | RequestOutcome::NotConnected
+                    | RequestOutcome::TimedOut => counted.failed += 1,
                 }
-                let harmless = matches!(end, End::Refused | End::Unreached) || class.effect() == Effect::Safe;
+                let harmless = matches!(end, RequestOutcome::Refused | RequestOutcome::NotConnected)
+                    || class.effect() == Effect::Safe;
                 let may =
                     tries <= self.0.s.count("clients.retries") && !self.0.ending.load(Ordering::Relaxed);
-                if !harmless || !may || end == End::GivenUp {
+                if !harmless || !may || end == RequestOutcome::TimedOut {
                     return;
                 }
                 counted.retries += 1;
@@ -229,26 +239,29 @@
     }
 
     /// A dispatcher of the client's zone that the front has in; else any.
-    fn seat(&self, zone: usize) -> Option<usize> {
+    fn backend(&self, zone: usize) -> Option<usize> {
         let zones = self.0.s.count("zones");
-        let seats = &self.0.seats;
-        let has = |seat: &usize| seats[*seat].is_used();
-        let near: Vec<usize> = (0..seats.len()).filter(|seat| seat % zones == zone).filter(has).collect();
-        let all = if near.is_empty() { (0..seats.len()).filter(has).collect() } else { near };
+        let backends = &self.0.backends;
+        let has = |backend: &usize| backends[*backend].is_used();
+        let near: Vec<usize> =
+            (0..backends.len()).filter(|backend| backend % zones == zone).filter(has).collect();
+        let all = if near.is_empty() { (0..backends.len()).filter(has).collect() } else { near };
         (!all.is_empty()).then(|| all[lock(&self.0.rng).random_range(0..all.len())])
     }
 
-    async fn try_once(&self, arrival: &Arrival) -> (End, Option<Duration>) {
-        let Some(dispatcher) = self.seat(arrival.zone) else { return (End::Unreached, None) };
+    async fn try_once(&self, arrival: &Arrival) -> (RequestOutcome, Option<Duration>) {
+        let Some(dispatcher) = self.backend(arrival.zone) else {
+            return (RequestOutcome::NotConnected, None);
+        };
         let class = &self.0.s.classes[arrival.class];
         let id = JobId::new(dispatcher, self.0.next.fetch_add(1, Ordering::Relaxed));
-        let clock = self.0.watch.clock();
+        let clock = self.0.event_log.clock();
         let time = class.get("deadline");
         let deadline = clock.now() + Span::from_ms(time);
         let once = class.effect() != Effect::Safe;
-        self.0.watch.sees(Seen::Sent { id: id.0, dispatcher, once, deadline_ms: deadline.ms() });
+        self.0.event_log.record(Event::Sent { id: id.0, dispatcher, once, deadline_ms: deadline.ms() });
         let facts =
-            Facts { slots: arrival.slots, work: arrival.work, key: arrival.key, worth: class.get("worth") };
+            JobBody { slots: arrival.slots, work: arrival.work, key: arrival.key, worth: class.get("worth") };
         let request = Request::post(format!("/{}/k{}", class.name, arrival.key))
             .header("host", "service.internal")
             .header("x-correlation-id", id.to_string())
@@ -257,23 +270,25 @@
             .header("x-facts", format!("slots={}", arrival.slots))
             .body(Full::from(serde_json::to_vec(&facts).unwrap_or_default()));
         // All of it is plain text.
-        let Ok(request) = request else { return (End::Unreached, None) };
+        let Ok(request) = request else { return (RequestOutcome::NotConnected, None) };
         let patience = deadline + self.0.s.span("rules.answer-slack") + SOCKET_SLACK;
         let exchange = self.exchange(dispatcher, id, request);
         let (end, advice, epoch) = match tokio::time::timeout_at(clock.instant(patience), exchange).await {
             Ok(done) => done,
-            Err(_) => (End::GivenUp, None, 0),
+            Err(_) => (RequestOutcome::TimedOut, None, 0),
         };
-        self.0.watch.sees(Seen::Closed { id: id.0, dispatcher, end });
-        let seat = &self.0.seats[dispatcher];
+        self.0.event_log.record(Event::Closed { id: id.0, dispatcher, outcome: end });
+        let backend = &self.0.backends[dispatcher];
         match end {
             // By the process that is there now, and not by the one before.
-            End::Served if epoch == seat.epoch.load(Ordering::Relaxed) => {
-                seat.served.fetch_add(1, Ordering::Relaxed)
+            RequestOutcome::Served if epoch == backend.epoch.load(Ordering::Relaxed) => {
+                backend.served.fetch_add(1, Ordering::Relaxed)
+            }
+            RequestOutcome::Served => 0,
+            RequestOutcome::ConnectionLost | RequestOutcome::TimedOut => {
+                backend.indeterminate.fetch_add(1, Ordering::Relaxed)
             }
-            End::Served => 0,
-            End::Lost | End::GivenUp => seat.unclear.fetch_add(1, Ordering::Relaxed),
-            End::Refused | End::Failed | End::Unreached => 0,
+            RequestOutcome::Refused | RequestOutcome::Failed | RequestOutcome::NotConnected => 0,
         };
         (end, advice)
     }
@@ -285,16 +300,16 @@
         dispatcher: usize,
         id: JobId,
         request: Request<Full<Bytes>>,
-    ) -> (End, Option<Duration>, u64) {
-        let seat = &self.0.seats[dispatcher];
+    ) -> (RequestOutcome, Option<Duration>, u64) {
+        let backend = &self.0.backends[dispatcher];
         let mut sender = loop {
-            let Some(kept) = lock(&seat.idle).pop() else {
-                if !seat.in_front.load(Ordering::Relaxed) {
-                    return (End::Unreached, None, 0);
+            let Some(kept) = lock(&backend.idle).pop() else {
+                if !backend.in_rotation.load(Ordering::Relaxed) {
+                    return (RequestOutcome::NotConnected, None, 0);
                 }
-                break match self.connect(seat).await {
+                break match self.connect(backend).await {
                     Some(sender) => sender,
-                    None => return (End::Unreached, None, 0),
+                    None => return (RequestOutcome::NotConnected, None, 0),
                 };
             };
             if kept.is_ready() {
@@ -302,34 +317,34 @@
             }
         };
         // Read after the connection is there: what it leads to is of this epoch, or gone.
-        let epoch = seat.epoch.load(Ordering::Relaxed);
+        let epoch = backend.epoch.load(Ordering::Relaxed);
         let response = match sender.send_request(request).await {
             Ok(response) => response,
             // Nothing of it was written.
-            Err(error) if error.is_canceled() => return (End::Unreached, None, epoch),
-            Err(_) => return (End::Lost, None, epoch),
+            Err(error) if error.is_canceled() => return (RequestOutcome::NotConnected, None, epoch),
+            Err(_) => return (RequestOutcome::ConnectionLost, None, epoch),
         };
         let status = response.status().as_u16();
         let advice =
             response.headers().get("retry-after").and_then(|value| value.to_str().ok()?.parse().ok());
         let advice = advice.filter(|secs: &f64| (0.0..3600.0).contains(secs)).map(Duration::from_secs_f64);
         let Ok(body) = Limited::new(response.into_body(), MAX_ANSWER).collect().await else {
-            return (End::Lost, None, epoch);
+            return (RequestOutcome::ConnectionLost, None, epoch);
         };
         if sender.ready().await.is_ok() {
-            lock(&seat.idle).push(sender);
+            lock(&backend.idle).push(sender);
         }
         let end = match status {
             // A log worker's result is the job's own number.
-            200 if body.to_bytes() == id.to_string() => End::Served,
-            429 | 503 => End::Refused,
-            _ => End::Failed,
+            200 if body.to_bytes() == id.to_string() => RequestOutcome::Served,
+            429 | 503 => RequestOutcome::Refused,
+            _ => RequestOutcome::Failed,
         };
         (end, advice, epoch)
     }
 
-    async fn connect(&self, seat: &Seat) -> Option<SendRequest<Full<Bytes>>> {
-        let address = (*lock(&seat.address))?;
+    async fn connect(&self, backend: &Backend) -> Option<SendRequest<Full<Bytes>>> {
+        let address = (*lock(&backend.address))?;
         let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -20,17 +20,17 @@
 use tokio::task::{AbortHandle, JoinSet};
 
 use crate::clock::{duration, Clock, Lateness, LatenessFigures};
+use crate::discovery::{DiscoveryMode, DiscoveryServer};
 use crate::dispatcher::{config, Dispatcher, FaultInjection, StartError};
+use crate::event_log::{Event, EventLog, ProcessEvent, RequestOutcome};
+use crate::invariants::{all_invariants, Tolerances, Violation};
 use crate::job::JobId;
-use crate::judge::{all, Allowed, Breach};
 use crate::keeper::Keeper;
-use crate::link::{Control, TcpLink};
-use crate::load::{Load, Seat, SOCKET_SLACK};
+use crate::link::{LinkControl, TcpLink};
+use crate::load::{Backend, LoadGenerator, SOCKET_SLACK};
 use crate::places::{check, Kind, Places, RoomError};
-use crate::plant::Plant;
-use crate::registry::{Mode, Registry};
-use crate::seen::{End, Life, Seen, Watch};
 use crate::ways::{Way, Ways};
+use crate::worker_pool::WorkerPool;
 
 /// The front notices that a dispatcher has died after this.
 const FRONT_NOTICES: Duration = Duration::from_secs(2);
@@ -106,7 +106,8 @@
     /// How late the rig ran.
     pub lateness: LatenessFigures,
     /// What broke.
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
 /// A rig that is up: dispatchers, stand-ins and links.
@@ -116,16 +117,16 @@
     /// The dispatchers, by number.
     pub dispatchers: Vec<Arc<Dispatcher>>,
     /// The log workers.
-    pub plant: Plant,
+    pub worker_pool: WorkerPool,
     /// Discovery.
-    pub registry: Registry,
+    pub discovery_server: DiscoveryServer,
     /// The clients.
-    pub load: Load,
+    pub load: LoadGenerator,
     /// What sees and judges.
-    pub watch: Watch,
+    pub event_log: EventLog,
     /// How late the rig runs.
     pub lateness: Lateness,
-    seats: Arc<Vec<Seat>>,
+    backends: Arc<Vec<Backend>>,
     links: BTreeMap<Way, TcpLink>,
     ways: Ways,
     /// Disturbances that are on.
@@ -164,14 +165,14 @@
         let ways = Ways::of(s, options.seed);
         check(s, ways.disturbed.len())?;
         let (places, keeper) = (Places::new(), Keeper::start()?);
-        let allowed = Allowed {
-            answer: s.span("rules.answer-slack") + SOCKET_SLACK,
-            drain: s.span("rules.drain-grace") + SOCKET_SLACK + ways.most_delay(),
+        let allowed = Tolerances {
+            answer_slack: s.span("rules.answer-slack") + SOCKET_SLACK,
+            drain_grace: s.span("rules.drain-grace") + SOCKET_SLACK + ways.most_delay(),
             transit: SOCKET_SLACK + ways.most_transit(),
         };
         let lateness = Lateness::default();
-        let watch = Watch::new(Clock::starting_in(Duration::ZERO), all(allowed));
-        let beat = tokio::spawn(lateness.clone().watch(watch.clock())).abort_handle();
+        let event_log = EventLog::new(Clock::starting_in(Duration::ZERO), all_invariants(allowed));
+        let beat = tokio::spawn(lateness.clone().watch(event_log.clock())).abort_handle();
 
         // Log workers, and the ways to them.
         let mut links: BTreeMap<Way, TcpLink> = BTreeMap::new();
@@ -190,16 +191,18 @@
                 links.insert(*way, link);
             }
         }
-        let registry = Registry::new(s, options.seed, watch.clone(), reached, ways.groups.clone());
-        let (to_registry, to_watch) = (registry.clone(), watch.clone());
-        let plant = Plant::start(s, options.seed, listeners, to_registry, to_watch, lateness.clone()).await?;
+        let discovery_server =
+            DiscoveryServer::new(s, options.seed, event_log.clone(), reached, ways.groups.clone());
+        let (to_registry, to_watch) = (discovery_server.clone(), event_log.clone());
+        let worker_pool =
+            WorkerPool::start(s, options.seed, listeners, to_registry, to_watch, lateness.clone()).await?;
 
         // Dispatchers, and the ways between them, discovery and clients.
-        let (mut dispatchers, mut seats) = (Vec::new(), Vec::new());
+        let (mut dispatchers, mut backends) = (Vec::new(), Vec::new());
         for number in 0..s.count("dispatchers") {
             let listener = TcpListener::bind(places.of(Kind::Discovery, number)).await?;
             let mut discovery = listener.local_addr()?;
-            registry.serve(number, listener);
+            discovery_server.serve(number, listener);
             for way in [Way::Discovery(number), Way::Clients(number)] {
                 let Some(place) = ways.disturbed.keys().position(|other| *other == way) else { continue };
                 let link = open_link(places.of(Kind::Link, place), discovery, options.seed, place).await?;
@@ -210,23 +213,23 @@
             }
             let own_seed = stream(options.seed, Stream::Policy, number as u64).random();
             let mut told = config(s, number, places.of(Kind::Dispatcher, number).ip(), discovery, own_seed);
-            told["known"] = registry.known(number);
-            let dispatcher = Dispatcher::new(&keeper, &options.program, number, told, watch.clone())?
+            told["known"] = discovery_server.snapshot(number);
+            let dispatcher = Dispatcher::new(&keeper, &options.program, number, told, event_log.clone())?
                 .with_faults(options.faults.clone());
             dispatchers.push(Arc::new(dispatcher));
-            seats.push(Seat::new());
+            backends.push(Backend::new());
         }
-        let seats = Arc::new(seats);
-        let load = Load::new(s, options.seed, seats.clone(), watch.clone(), lateness.clone());
+        let backends = Arc::new(backends);
+        let load = LoadGenerator::new(s, options.seed, backends.clone(), event_log.clone(), lateness.clone());
         Ok(Rig {
             scenario,
             dispatchers,
-            plant,
-            registry,
+            worker_pool,
+            discovery_server,
             load,
-            watch,
+            event_log,
             lateness,
-            seats,
+            backends,
             links,
             ways,
             on: Mutex::default(),
@@ -258,9 +261,9 @@
         let Some(address) = dispatcher.clients() else { return };
         let link = self.links.get(&Way::Clients(dispatcher.number));
         if let Some(link) = link {
-            link.lead_to(address);
+            link.set_target(address);
         }
-        self.seats[dispatcher.number].takes(link.map_or(address, |link| link.address));
+        self.backends[dispatcher.number].add_to_rotation(link.map_or(address, |link| link.address));
     }
 
     /// Starts a dispatcher again under its name, with the list as discovery has it now.
@@ -269,8 +272,8 @@
     /// It does not come up.
     pub async fn start_again(&self, number: usize) -> Result<(), StartError> {
         let dispatcher = &self.dispatchers[number];
-        dispatcher.config()["known"] = self.registry.known(number);
-        self.registry.forgets(number);
+        dispatcher.config()["known"] = self.discovery_server.snapshot(number);
+        self.discovery_server.forget_dispatcher(number);
         dispatcher.start(self.options.patience).await?;
         dispatcher.ready(self.options.patience).await?;
         self.takes_in(dispatcher);
@@ -280,12 +283,12 @@
     /// Kills a dispatcher. The front notices later.
     pub async fn kill(self: &Arc<Self>, number: usize) {
         self.dispatchers[number].kill().await;
-        self.seats[number].is_gone();
+        self.backends[number].process_ended();
         let rig = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(FRONT_NOTICES).await;
             if rig.dispatchers[number].pid().await.is_none() {
-                rig.seats[number].in_front.store(false, Ordering::Relaxed);
+                rig.backends[number].in_rotation.store(false, Ordering::Relaxed);
             }
         });
     }
@@ -298,14 +301,14 @@
         let dispatcher = self.dispatchers[number].clone();
         let ends = tokio::spawn(async move { dispatcher.end(patience).await });
         tokio::time::sleep(STILL_COME).await;
-        self.seats[number].in_front.store(false, Ordering::Relaxed);
+        self.backends[number].in_rotation.store(false, Ordering::Relaxed);
         let ended = ends.await.unwrap_or(false);
-        self.seats[number].is_gone();
+        self.backends[number].process_ended();
         ended
     }
 
     /// The control of a way's link, if the way has one.
-    pub fn link(&self, way: Way) -> Option<&Control> {
+    pub fn link(&self, way: Way) -> Option<&LinkControl> {
         self.links.get(&way).map(|link| &link.control)
     }
 
@@ -332,7 +335,7 @@
     }
 
     fn says(&self, what: String) {
-        self.watch.sees(Seen::Script { what });
+        self.event_log.record(Event::Script { text: what });
     }
 
     /// What clients will send: the emulator's own draw, dear jobs included.
@@ -354,22 +357,22 @@
     /// # Errors
     /// A dispatcher that was to start again did not.
     pub async fn play(self: &Arc<Self>) -> Result<(), StartError> {
-        let begin = self.watch.clock().now() + LEAD;
-        self.watch.begins(begin);
+        let begin = self.event_log.clock().now() + LEAD;
+        self.event_log.set_start(begin);
         let mut parts: JoinSet<Result<(), StartError>> = JoinSet::new();
         for (number, incident) in self.scenario.incidents.clone().into_iter().enumerate() {
             let rig = self.clone();
             parts.spawn(async move {
-                rig.lateness.record(rig.watch.clock().sleep_until(begin + incident.at).await);
+                rig.lateness.record(rig.event_log.clock().sleep_until(begin + incident.at).await);
                 rig.incident(number, &incident).await
             });
         }
         for (number, one) in self.ways.all.clone().into_iter().enumerate() {
             let rig = self.clone();
             parts.spawn(async move {
-                rig.lateness.record(rig.watch.clock().sleep_until(begin + one.at).await);
+                rig.lateness.record(rig.event_log.clock().sleep_until(begin + one.at).await);
                 rig.disturb(number, true);
-                rig.watch.clock().sleep_until(begin + one.at + one.length).await;
+                rig.event_log.clock().sleep_until(begin + one.at + one.length).await;
                 rig.disturb(number, false);
                 Ok(())
             });
@@ -392,72 +395,72 @@
         let lasts = lasting(length);
         match trouble {
             Trouble::Crash | Trouble::Silent => {
-                self.plant.crash(&all, trouble == Trouble::Silent);
+                self.worker_pool.crash(&all, trouble == Trouble::Silent);
                 lasts.await;
-                self.plant.start_again(&all);
+                self.worker_pool.restart(&all);
             }
             Trouble::Rolling => {
                 let step = Span(length.0 / all.len().max(1) as i64);
-                let begin = self.watch.clock().now();
+                let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
                 for (turn, worker) in all.into_iter().enumerate() {
                     let rig = self.clone();
                     turns.spawn(async move {
-                        rig.watch.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
-                        rig.plant.drain(worker);
+                        rig.event_log.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
+                        rig.worker_pool.drain(worker);
                         lasting(Span::from_ms(size * 1000.0)).await;
-                        if rig.plant.stop(worker, false) {
+                        if rig.worker_pool.stop(worker, false) {
                             lasting(Span(1_000_000)).await;
-                            rig.plant.start_again(&[worker]);
+                            rig.worker_pool.restart(&[worker]);
                         }
                     });
                 }
                 while turns.join_next().await.is_some() {}
             }
             Trouble::Slow => {
-                self.plant.change(&all, |worker| worker.slow *= size.max(1e-3));
+                self.worker_pool.update_workers(&all, |worker| worker.slow *= size.max(1e-3));
                 lasts.await;
-                self.plant.change(&all, |worker| worker.slow /= size.max(1e-3));
+                self.worker_pool.update_workers(&all, |worker| worker.slow /= size.max(1e-3));
             }
             Trouble::Neighbour => {
-                let end = self.watch.clock().now() + length;
+                let end = self.event_log.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
-                while self.watch.clock().now() < end {
-                    self.plant.change(&all, |worker| worker.taken = taken);
+                while self.event_log.clock().now() < end {
+                    self.worker_pool.update_workers(&all, |worker| worker.taken = taken);
                     taken = if taken > 0.0 { 0.0 } else { size.clamp(0.0, 0.99) };
                     lasting(Span(1_000_000)).await;
                 }
-                self.plant.change(&all, |worker| worker.taken = 0.0);
+                self.worker_pool.update_workers(&all, |worker| worker.taken = 0.0);
             }
             Trouble::Pause => {
-                self.plant.change(&all, |worker| worker.paused = true);
+                self.worker_pool.update_workers(&all, |worker| worker.paused = true);
                 lasts.await;
-                self.plant.change(&all, |worker| worker.paused = false);
+                self.worker_pool.update_workers(&all, |worker| worker.paused = false);
             }
             Trouble::ReportsLate => {
                 let later = Span::from_ms(size * 1000.0);
-                self.plant.reports_later(later);
+                self.worker_pool.delay_reports(later);
                 lasts.await;
-                self.plant.reports_later(Span(-later.0));
+                self.worker_pool.delay_reports(Span(-later.0));
             }
             Trouble::Resets => {
                 let mut rng = stream(self.options.seed, Stream::Network, number as u64);
-                let end = self.watch.clock().now() + length;
-                while self.watch.clock().now() < end {
+                let end = self.event_log.clock().now() + length;
+                while self.event_log.clock().now() < end {
                     lasting(Span(100_000)).await;
-                    self.plant.reset_some(size / 10.0, &mut rng);
+                    self.worker_pool.reset_connections(size / 10.0, &mut rng);
                 }
             }
             // Jobs are dear from the start; cut zones are links.
             Trouble::Costly | Trouble::ZoneCut => lasts.await,
             Trouble::DiscoveryGone | Trouble::DiscoverySilent | Trouble::DiscoveryOld => {
-                self.registry.set(match trouble {
-                    Trouble::DiscoverySilent => Mode::Silent,
-                    Trouble::DiscoveryOld => Mode::Old,
-                    _ => Mode::Refuses,
+                self.discovery_server.set_mode(match trouble {
+                    Trouble::DiscoverySilent => DiscoveryMode::Silent,
+                    Trouble::DiscoveryOld => DiscoveryMode::Stale,
+                    _ => DiscoveryMode::Refusing,
                 });
                 lasts.await;
-                self.registry.set(Mode::Works);
+                self.discovery_server.set_mode(DiscoveryMode::Normal);
             }
             Trouble::HostPause => {
                 for number in &all {
@@ -486,12 +489,12 @@
             }
             Trouble::Restart => {
                 let step = Span(length.0 / all.len().max(1) as i64);
-                let begin = self.watch.clock().now();
+                let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
                 for (turn, number) in all.into_iter().enumerate() {
                     let rig = self.clone();
                     turns.spawn(async move {
-                        rig.watch.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
+                        rig.event_log.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
                         rig.end(number).await;
                         rig.start_again(number).await
                     });
@@ -524,24 +527,30 @@
         for dispatcher in &self.dispatchers {
             let number = dispatcher.number;
             if dispatcher.has_crashed().await {
-                self.watch.sees(Seen::Dispatcher { dispatcher: number, life: Life::Crashed });
+                self.event_log.record(Event::Dispatcher { dispatcher: number, event: ProcessEvent::Crashed });
                 continue;
             }
             if let Some((kb, seconds)) = dispatcher.usage().await {
                 (memory, count, cpu_s) = (memory + kb, count + 1, cpu_s + seconds);
             }
-            if let (Some(counted), Some(figures)) = (self.seats[number].served(), dispatcher.figures().await)
+            if let (Some(counted), Some(figures)) =
+                (self.backends[number].served(), dispatcher.figures().await)
             {
                 let passed = figures.iter().filter(|(name, _)| name.starts_with("passed."));
                 let says = passed.map(|(_, value)| value).sum();
-                self.watch.sees(Seen::Figure { dispatcher: number, name: "passed", says, counted });
+                self.event_log.record(Event::CounterCheck {
+                    dispatcher: number,
+                    name: "passed",
+                    reported: says,
+                    counted,
+                });
             }
         }
-        self.watch.close();
+        self.event_log.finish();
         let lateness = self.lateness.figures();
-        let breaches = self.watch.breaches();
+        let violations = self.event_log.violations();
         let slack_ms = SOCKET_SLACK.ms();
-        let verdict = match breaches.is_empty() {
+        let verdict = match violations.is_empty() {
             _ if lateness.p99_ms > LATE_P99_MS => Verdict::Void,
             true => Verdict::Kept,
             // What the rig did not do in time may be what broke.
@@ -550,18 +559,18 @@
         };
         Outcome {
             verdict,
-            report: self.report(&breaches),
+            report: self.report(&violations),
             ready_s: self.ready_s,
             memory_kb: memory / count.max(1),
             cpu_s,
             lateness,
-            breaches,
+            violations,
         }
     }
 
     /// The figures that the emulator gives of a run, from what was seen here.
-    fn report(&self, breaches: &[Breach]) -> Report {
-        let counted = self.load.counted();
+    fn report(&self, violations: &[Violation]) -> Report {
+        let counted = self.load.counts();
         let score = Score::of(&self.scenario, &counted.asked);
         let classes = self.scenario.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
@@ -570,10 +579,10 @@
             service: score.classes[class],
         });
         let quantile = |q: f64| counted.latency.value_at_quantile(q) as f64 / 1000.0;
-        let seen = |of: fn(&Seen) -> bool| self.watch.count(of) as u64;
+        let seen = |of: fn(&Event) -> bool| self.event_log.count(of) as u64;
         let mut rules: BTreeMap<String, u64> = RULES.iter().map(|rule| (rule.name().to_owned(), 0)).collect();
-        breaches.iter().for_each(|breach| *rules.entry(breach.rule.clone()).or_default() += 1);
-        let sentence = |b: &Breach| format!("{:.3} s: {}: {}", b.at_ms / 1000.0, b.rule, b.what);
+        violations.iter().for_each(|violation| *rules.entry(violation.rule.clone()).or_default() += 1);
+        let sentence = |b: &Violation| format!("{:.3} s: {}: {}", b.at_ms / 1000.0, b.rule, b.description);
         Report {
             policy: "processes".into(),
             seed: self.options.seed,
@@ -588,48 +597,50 @@
             refused: counted.refused,
             failed: counted.failed,
             retries: counted.retries,
-            sent: seen(|seen| matches!(seen, Seen::Reached { .. })),
-            turned_away: seen(|seen| matches!(seen, Seen::Away { .. })),
-            broken_connections: seen(|seen| matches!(seen, Seen::Closed { end: End::Lost, .. })),
-            cross_zone: seen_across(&self.watch, self.scenario.count("zones")),
-            openings: self.plant.openings(),
-            probes: self.plant.probes(),
-            fetches: self.plant.fetches(),
-            starts: seen(|seen| matches!(seen, Seen::Began { .. })),
-            falls: seen(|seen| matches!(seen, Seen::Fell { .. })),
+            sent: seen(|seen| matches!(seen, Event::Reached { .. })),
+            turned_away: seen(|seen| matches!(seen, Event::TurnedAway { .. })),
+            broken_connections: seen(|seen| {
+                matches!(seen, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. })
+            }),
+            cross_zone: seen_across(&self.event_log, self.scenario.count("zones")),
+            openings: self.worker_pool.connections_opened(),
+            probes: self.worker_pool.probes(),
+            fetches: self.worker_pool.fetches(),
+            starts: seen(|seen| matches!(seen, Event::Started { .. })),
+            falls: seen(|seen| matches!(seen, Event::Overloaded { .. })),
             mean_ms: counted.latency.mean() / 1000.0,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
-            spread: spread(&self.plant.worked()),
+            spread: spread(&self.worker_pool.busy_seconds()),
             rules,
-            first_broken: breaches.iter().take(SENTENCES).map(sentence).collect(),
+            first_broken: violations.iter().take(SENTENCES).map(sentence).collect(),
         }
     }
 
     /// Dispatchers that clients are dealt out to at present.
     pub fn in_front(&self) -> usize {
-        self.seats.iter().filter(|seat| seat.in_front.load(Ordering::Relaxed)).count()
+        self.backends.iter().filter(|seat| seat.in_rotation.load(Ordering::Relaxed)).count()
     }
 
     /// Clients reach a dispatcher there from now on.
     pub fn lead_clients(&self, number: usize, to: SocketAddr) {
-        self.seats[number].takes(to);
+        self.backends[number].add_to_rotation(to);
     }
 }
 
 /// Requests that reached a log worker of another zone.
-fn seen_across(watch: &Watch, zones: usize) -> u64 {
-    let across = |seen: &Seen| match seen {
-        Seen::Reached { id, worker, .. } => JobId(*id).dispatcher() % zones != worker % zones,
+fn seen_across(event_log: &EventLog, zones: usize) -> u64 {
+    let across = |seen: &Event| match seen {
+        Event::Reached { id, worker, .. } => JobId(*id).dispatcher() % zones != worker % zones,
         _ => false,
     };
-    watch.count(across) as u64
+    event_log.count(across) as u64
 }
 
 async fn open_link(at: SocketAddr, target: SocketAddr, seed: u64, number: usize) -> std::io::Result<TcpLink> {
     // Each link draws from a seed of its own.
     let own = stream(seed, Stream::Network, number as u64 | 1 << 40).random();
-    TcpLink::open(at, target, Control::default(), own).await
+    TcpLink::open(at, target, LinkControl::default(), own).await
 }
 
 /// Waits for all of them, or for the first that fails; a panic of one goes on here.
--- a/crates/rig/src/serve.rs
+++ b/crates/rig/src/response.rs
@@ -12,25 +12,25 @@
 /// The connection is to be reset here.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("reset")]
-pub(crate) struct Reset;
+pub(crate) struct ConnectionReset;
 
 /// What a stand-in says next.
-pub(crate) type Said = Result<Bytes, Reset>;
+pub(crate) type BodyChunk = Result<Bytes, ConnectionReset>;
 
 /// A body that comes as it is said. `gone` hears when nobody wants more of it.
-pub(crate) struct Told {
-    from: Option<mpsc::Receiver<Said>>,
+pub(crate) struct StreamBody {
+    from: Option<mpsc::Receiver<BodyChunk>>,
     at_once: Option<Bytes>,
     gone: Option<Box<dyn FnOnce() + Send>>,
 }
 
-impl Told {
-    pub fn new(from: mpsc::Receiver<Said>, gone: impl FnOnce() + Send + 'static) -> Self {
-        Told { from: Some(from), at_once: None, gone: Some(Box::new(gone)) }
+impl StreamBody {
+    pub fn new(from: mpsc::Receiver<BodyChunk>, gone: impl FnOnce() + Send + 'static) -> Self {
+        StreamBody { from: Some(from), at_once: None, gone: Some(Box::new(gone)) }
     }
 }
 
-impl Drop for Told {
+impl Drop for StreamBody {
     fn drop(&mut self) {
         if let Some(gone) = self.gone.take() {
             gone();
@@ -38,14 +38,14 @@
     }
 }
 
-impl Body for Told {
+impl Body for StreamBody {
     type Data = Bytes;
-    type Error = Reset;
+    type Error = ConnectionReset;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Reset>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionReset>>> {
         if let Some(bytes) = self.at_once.take() {
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
@@ -61,10 +61,10 @@
 }
 
 /// A whole answer.
-pub(crate) fn plain(status: StatusCode, body: impl Into<Bytes>) -> Response<Told> {
+pub(crate) fn plain_response(status: StatusCode, body: impl Into<Bytes>) -> Response<StreamBody> {
     let body: Bytes = body.into();
     let body = Some(body).filter(|body| !body.is_empty());
-    let mut response = Response::new(Told { from: None, at_once: body, gone: None });
+    let mut response = Response::new(StreamBody { from: None, at_once: body, gone: None });
     *response.status_mut() = status;
     response
 }
--- a/crates/rig/src/plant.rs
+++ b/crates/rig/src/worker_pool.rs
@@ -27,10 +27,10 @@
 use tokio::sync::{mpsc, watch, Notify};
 
 use crate::clock::Lateness;
+use crate::discovery::{DiscoveryServer, ListedState};
+use crate::event_log::{Event, EventLog};
 use crate::job::JobId;
-use crate::registry::{Registry, View};
-use crate::seen::{Seen, Watch};
-use crate::serve::{plain, Reset, Said, Told};
+use crate::response::{plain_response, BodyChunk, ConnectionReset, StreamBody};
 
 /// How often a cold log worker's speed is taken anew.
 const STEP: Span = Span(100_000);
@@ -39,7 +39,7 @@
 
 /// What a job's body says: what it asks of a log worker.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct Facts {
+pub struct JobBody {
     /// Slots that it takes.
     pub slots: f64,
     /// Running time at speed 1, in seconds.
@@ -88,7 +88,7 @@
 struct Attempt {
     id: u64,
     worker: usize,
-    say: mpsc::Sender<Said>,
+    say: mpsc::Sender<BodyChunk>,
 }
 
 struct Works {
@@ -110,15 +110,15 @@
 
 /// The log workers of a play. Clones are the same.
 #[derive(Clone)]
-pub struct Plant(Arc<Inner>);
+pub struct WorkerPool(Arc<Inner>);
 
 struct Inner {
     s: Scenario,
     works: Mutex<Works>,
     changed: Notify,
-    watch: Watch,
+    event_log: EventLog,
     lateness: Lateness,
-    registry: Registry,
+    discovery_server: DiscoveryServer,
     addresses: Vec<SocketAddr>,
     mean_work: f64,
 }
@@ -128,10 +128,10 @@
     Away,
     /// The process fell over it.
     Broke,
-    Held(usize, mpsc::Receiver<Said>),
+    Held(usize, mpsc::Receiver<BodyChunk>),
 }
 
-impl Plant {
+impl WorkerPool {
     /// Starts them all, at these addresses; they say to the registry what they do.
     ///
     /// # Errors
@@ -140,8 +140,8 @@
         s: &Scenario,
         seed: u64,
         listeners: Vec<TcpListener>,
-        registry: Registry,
-        watch: Watch,
+        discovery_server: DiscoveryServer,
+        event_log: EventLog,
         lateness: Lateness,
     ) -> std::io::Result<Self> {
         let mut machines = Vec::new();
@@ -161,7 +161,7 @@
         for (number, machine) in machines.iter_mut().enumerate() {
             // Not all in the same moment.
             let first = machine.rng.random_range(0..=s.span("report.every").0);
-            due.push(Reverse((watch.clock().now() + Span(first), Due::Report(number))));
+            due.push(Reverse((event_log.clock().now() + Span(first), Due::Report(number))));
         }
         let works = Works {
             machines,
@@ -184,21 +184,21 @@
             probes: 0,
         };
         let addresses: std::io::Result<Vec<SocketAddr>> = listeners.iter().map(|l| l.local_addr()).collect();
-        let plant = Plant(Arc::new(Inner {
+        let worker_pool = WorkerPool(Arc::new(Inner {
             s: s.clone(),
             works: Mutex::new(works),
             changed: Notify::new(),
-            watch,
+            event_log,
             lateness,
-            registry,
+            discovery_server,
             addresses: addresses?,
             mean_work: s.mean_work(),
         }));
         for (number, listener) in listeners.into_iter().enumerate() {
-            tokio::spawn(plant.clone().listen(number, listener));
+            tokio::spawn(worker_pool.clone().listen(number, listener));
         }
-        tokio::spawn(plant.clone().drive());
-        Ok(plant)
+        tokio::spawn(worker_pool.clone().drive());
+        Ok(worker_pool)
     }
 
     fn works(&self) -> MutexGuard<'_, Works> {
@@ -206,7 +206,7 @@
     }
 
     fn now(&self) -> Time {
-        self.0.watch.clock().now()
+        self.0.event_log.clock().now()
     }
 
     /// Does what is due, in order, for ever.
@@ -235,7 +235,7 @@
                 }
                 works.due.peek().map(|next| next.0 .0)
             };
-            let clock = self.0.watch.clock();
+            let clock = self.0.event_log.clock();
             tokio::select! {
                 _ = clock.sleep_until(next.unwrap_or(now + Span(1_000_000))) => {}
                 () = self.0.changed.notified() => {}
@@ -272,7 +272,7 @@
         works.machines[worker].worker.advance(self.now());
         for job in works.machines[worker].worker.take_done() {
             if let Some(attempt) = works.attempts.remove(&job.attempt) {
-                self.0.watch.sees(Seen::Done { id: attempt.id, worker });
+                self.0.event_log.record(Event::Finished { id: attempt.id, worker });
                 self.say(&attempt, "done", true);
             }
         }
@@ -288,7 +288,7 @@
                 self.replan_store(works);
             }
             if let Some(attempt) = works.attempts.get(&job.attempt) {
-                self.0.watch.sees(Seen::Began { id: attempt.id, worker });
+                self.0.event_log.record(Event::Started { id: attempt.id, worker });
                 self.say(attempt, "started", false);
             }
         }
@@ -308,7 +308,7 @@
 
     fn say(&self, attempt: &Attempt, state: &str, result: bool) {
         let id = JobId(attempt.id).to_string();
-        let mut line = json!({"id": id, "from": name(attempt.worker), "state": state});
+        let mut line = json!({"id": id, "from": worker_name(attempt.worker), "state": state});
         if result {
             line["result"] = id.into();
         }
@@ -316,11 +316,11 @@
         let _ = attempt.say.try_send(Ok(Bytes::from(format!("{line}\n"))));
     }
 
-    fn take(&self, worker: usize, id: u64, left_ms: Option<f64>, facts: Facts) -> Taken {
+    fn take(&self, worker: usize, id: u64, left_ms: Option<f64>, facts: JobBody) -> Taken {
         let mut works = self.works();
         let works = &mut *works;
         let now = self.now();
-        self.0.watch.sees(Seen::Reached { id, worker, left_ms });
+        self.0.event_log.record(Event::Reached { id, worker, left_ms });
         if works.machines[worker].worker.is_cold(now) && self.falls(works, worker, id) {
             return Taken::Broke;
         }
@@ -331,7 +331,7 @@
         machine.worker.advance(now);
         let hands_back = machine.draining && self.0.s.on("worker.hands-back");
         if hands_back || !machine.worker.take(job) {
-            self.0.watch.sees(Seen::Away { id, worker });
+            self.0.event_log.record(Event::TurnedAway { id, worker });
             return Taken::Away;
         }
         let (say, said) = mpsc::channel(4);
@@ -344,7 +344,8 @@
     fn falls(&self, works: &mut Works, worker: usize, id: u64) -> bool {
         let now = self.now();
         let machine = &works.machines[worker];
-        let told = self.0.registry.told_start(JobId(id).dispatcher(), worker) == machine.worker.started;
+        let told =
+            self.0.discovery_server.notified_start(JobId(id).dispatcher(), worker) == machine.worker.started;
         let capacity = machine.worker.nominal(now);
         if !works.checker.loads(now, worker, self.0.mean_work, told, capacity) {
             return false;
@@ -352,10 +353,10 @@
         let blamed = works.checker.broken(Rule::GentleStart);
         let told = blamed > works.falls_blamed;
         works.falls_blamed = blamed;
-        self.0.watch.sees(Seen::Fell { worker, told });
+        self.0.event_log.record(Event::Overloaded { worker, notified: told });
         // It stays down.
         self.end(works, worker, false);
-        self.0.registry.notices(self.0.s.span("discovery.notices"), worker, View::Gone);
+        self.0.discovery_server.update_after(self.0.s.span("discovery.notices"), worker, ListedState::Gone);
         true
     }
 
@@ -433,7 +434,7 @@
     pub fn crash(&self, workers: &[usize], silent: bool) {
         let notices = if silent { "discovery.notices-silence" } else { "discovery.notices" };
         for worker in workers.iter().filter(|worker| self.stop(**worker, silent)) {
-            self.0.registry.notices(self.0.s.span(notices), *worker, View::Gone);
+            self.0.discovery_server.update_after(self.0.s.span(notices), *worker, ListedState::Gone);
         }
     }
 
@@ -449,7 +450,7 @@
     }
 
     /// A new process of each of these, which is cold.
-    pub fn start_again(&self, workers: &[usize]) {
+    pub fn restart(&self, workers: &[usize]) {
         let now = self.now();
         for worker in workers {
             let mut works = self.works();
@@ -466,7 +467,11 @@
             machine.state.send_replace(State::Up(epoch));
             works.checker.restarts(*worker);
             works.buried.retain(|attempt| attempt.worker != *worker);
-            self.0.registry.notices(self.0.s.span("discovery.notices"), *worker, View::Active(Some(now)));
+            self.0.discovery_server.update_after(
+                self.0.s.span("discovery.notices"),
+                *worker,
+                ListedState::Active(Some(now)),
+            );
         }
     }
 
@@ -480,12 +485,16 @@
         self.tell(worker, "drains");
         let now = self.now();
         works.machines[worker].draining = true;
-        self.0.registry.notices(self.0.s.span("discovery.notices"), worker, View::Draining);
+        self.0.discovery_server.update_after(
+            self.0.s.span("discovery.notices"),
+            worker,
+            ListedState::Draining,
+        );
         if self.0.s.on("worker.hands-back") {
             works.machines[worker].worker.advance(now);
             for job in works.machines[worker].worker.hand_back() {
                 if let Some(attempt) = works.attempts.remove(&job.attempt) {
-                    self.0.watch.sees(Seen::Away { id: attempt.id, worker });
+                    self.0.event_log.record(Event::TurnedAway { id: attempt.id, worker });
                     self.say(&attempt, "returned", false);
                 }
             }
@@ -493,7 +502,7 @@
     }
 
     /// Changes how fast these go.
-    pub fn change(&self, workers: &[usize], change: impl Fn(&mut Worker)) {
+    pub fn update_workers(&self, workers: &[usize], change: impl Fn(&mut Worker)) {
         for worker in workers {
             let mut works = self.works();
             let now = self.now();
@@ -504,32 +513,32 @@
     }
 
     /// Reports come this much later than usual; a negative span takes that back.
-    pub fn reports_later(&self, by: Span) {
+    pub fn delay_reports(&self, by: Span) {
         let mut works = self.works();
         works.late_reports = works.late_reports + by;
     }
 
     /// Resets each connection with a job on it, with this chance. The job runs on.
-    pub fn reset_some(&self, chance: f64, rng: &mut SmallRng) {
+    pub fn reset_connections(&self, chance: f64, rng: &mut SmallRng) {
         let works = self.works();
         let mut all: Vec<usize> = works.attempts.keys().copied().collect();
         all.sort_unstable();
         for attempt in all.into_iter().filter(|_| rng.random::<f64>() < chance) {
-            let _ = works.attempts[&attempt].say.try_send(Err(Reset));
+            let _ = works.attempts[&attempt].say.try_send(Err(ConnectionReset));
         }
     }
 
     fn tell(&self, worker: usize, what: &str) {
-        self.0.watch.sees(Seen::Script { what: format!("{} {what}", name(worker)) });
+        self.0.event_log.record(Event::Script { text: format!("{} {what}", worker_name(worker)) });
     }
 
     /// Seconds of a core that each spent on jobs.
-    pub fn worked(&self) -> Vec<f64> {
+    pub fn busy_seconds(&self) -> Vec<f64> {
         self.works().machines.iter().map(|machine| machine.worker.worked).collect()
     }
 
     /// Connections that were opened to them.
-    pub fn openings(&self) -> u64 {
+    pub fn connections_opened(&self) -> u64 {
         self.works().openings
     }
 
@@ -544,7 +553,7 @@
     }
 
     /// Log workers that take work at present.
-    pub fn up(&self) -> usize {
+    pub fn available_workers(&self) -> usize {
         self.works().machines.iter().filter(|m| m.is_up() && !m.draining && !m.worker.paused).count()
     }
 
@@ -610,13 +619,13 @@
             works.openings += 1;
             self.replan(&mut works, worker);
         }
-        let plant = self.clone();
+        let worker_pool = self.clone();
         tokio::spawn(async move {
             let service = service_fn(|request| {
-                let plant = plant.clone();
-                async move { Ok::<_, Infallible>(plant.answer(worker, request).await) }
+                let worker_pool = worker_pool.clone();
+                async move { Ok::<_, Infallible>(worker_pool.answer(worker, request).await) }
             });
-            let idle = Duration::from_micros(plant.0.s.span("connection.idle").0.max(1) as u64);
+            let idle = Duration::from_micros(worker_pool.0.s.span("connection.idle").0.max(1) as u64);
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(idle);
             {
@@ -634,7 +643,7 @@
                     let _ = state.wait_for(|state| *state != State::Silent).await;
                 }
             }
-            let mut works = plant.works();
+            let mut works = worker_pool.works();
             let machine = &mut works.machines[worker];
             if machine.epoch == epoch {
                 machine.connections = machine.connections.saturating_sub(1);
@@ -642,16 +651,16 @@
         });
     }
 
-    async fn answer(&self, worker: usize, request: Request<Incoming>) -> Response<Told> {
+    async fn answer(&self, worker: usize, request: Request<Incoming>) -> Response<StreamBody> {
         let id = request.headers().get("x-correlation-id").and_then(|id| JobId::read(id.to_str().ok()?));
         match (request.method(), request.uri().path(), id) {
             (&Method::GET, "/stats", _) => {
                 self.not_paused(worker).await;
-                plain(StatusCode::OK, self.stats(worker))
+                plain_response(StatusCode::OK, self.stats(worker))
             }
-            (&Method::GET, "/health/live", _) => plain(StatusCode::OK, ""),
+            (&Method::GET, "/health/live", _) => plain_response(StatusCode::OK, ""),
             (&Method::POST, _, Some(id)) => self.job(worker, id.0, request).await,
-            _ => plain(StatusCode::BAD_REQUEST, ""),
+            _ => plain_response(StatusCode::BAD_REQUEST, ""),
         }
     }
 
@@ -661,32 +670,32 @@
         }
     }
 
-    async fn job(&self, worker: usize, id: u64, request: Request<Incoming>) -> Response<Told> {
+    async fn job(&self, worker: usize, id: u64, request: Request<Incoming>) -> Response<StreamBody> {
         let left_ms =
             request.headers().get("x-time-left-ms").and_then(|left| left.to_str().ok()?.parse().ok());
         let Ok(body) = Limited::new(request.into_body(), MAX_BODY).collect().await else {
-            return plain(StatusCode::BAD_REQUEST, "");
+            return plain_response(StatusCode::BAD_REQUEST, "");
         };
-        let Ok(facts) = serde_json::from_slice::<Facts>(&body.to_bytes()) else {
-            return plain(StatusCode::BAD_REQUEST, "");
+        let Ok(facts) = serde_json::from_slice::<JobBody>(&body.to_bytes()) else {
+            return plain_response(StatusCode::BAD_REQUEST, "");
         };
         match self.take(worker, id, left_ms, facts) {
             Taken::Away => {
-                let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "");
+                let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
                 response.headers_mut().insert("x-unprocessed", http::HeaderValue::from_static("1"));
                 response
             }
             // Its connection ends with the process.
             Taken::Broke => std::future::pending().await,
             Taken::Held(attempt, said) => {
-                let plant = self.clone();
-                Response::new(Told::new(said, move || plant.call_off(attempt)))
+                let worker_pool = self.clone();
+                Response::new(StreamBody::new(said, move || worker_pool.call_off(attempt)))
             }
         }
     }
 }
 
 /// A log worker's name.
-pub fn name(worker: usize) -> String {
+pub fn worker_name(worker: usize) -> String {
     format!("w-{worker:06}")
 }
--- a/crates/rig/tests/link.rs
+++ b/crates/rig/tests/link.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use rookspoke_decisions::Span;
-use rookspoke_rig::link::{Control, Faults, TcpLink, UdpLink};
+use rookspoke_rig::link::{Faults, LinkControl, TcpLink, UdpLink};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
@@ -22,7 +22,7 @@
 async fn link() -> (TcpLink, TcpListener) {
     let target = TcpListener::bind(ANY).await.expect("a port");
     let to = target.local_addr().expect("an address");
-    (TcpLink::open(ANY, to, Control::default(), 5).await.expect("a link"), target)
+    (TcpLink::open(ANY, to, LinkControl::default(), 5).await.expect("a link"), target)
 }
 
 /// Both ends of a connection over a link.
@@ -76,7 +76,7 @@
     assert!(is_silent(&mut near).await);
     link.control.heal();
     assert_eq!(read(&mut near, 4).await, b"back");
-    link.control.silence();
+    link.control.cut_both_ways();
     near.write_all(b"more").await.expect("sent");
     assert!(is_silent(&mut far).await);
 }
@@ -166,7 +166,7 @@
 async fn numbers(seed: u64, there: Faults) -> Vec<u8> {
     let target = UdpSocket::bind(ANY).await.expect("a port");
     let to = target.local_addr().expect("an address");
-    let link = UdpLink::open(ANY, to, Control::default(), seed).await.expect("a link");
+    let link = UdpLink::open(ANY, to, LinkControl::default(), seed).await.expect("a link");
     link.control.set(there, Faults::default());
     let near = UdpSocket::bind(ANY).await.expect("a port");
     let mut came = Vec::new();
@@ -175,13 +175,13 @@
         near.send_to(&[number], link.address).await.expect("sent");
         // One after the other, so that the system drops none by itself.
         let start = Instant::now();
-        while link.counts().came <= u64::from(number) {
+        while link.counts().received <= u64::from(number) {
             assert!(start.elapsed() < PATIENCE, "it did not come");
             tokio::task::yield_now().await;
         }
     }
     let counts = link.counts();
-    assert_eq!(counts.no_room, 0);
+    assert_eq!(counts.over_capacity, 0);
     while let Ok(read) = tokio::time::timeout(SILENCE, target.recv_from(&mut buffer)).await {
         read.expect("a datagram");
         came.push(buffer[0]);
@@ -208,7 +208,7 @@
 async fn answers_to_datagrams_find_their_sender() {
     let target = UdpSocket::bind(ANY).await.expect("a port");
     let to = target.local_addr().expect("an address");
-    let link = UdpLink::open(ANY, to, Control::default(), 1).await.expect("a link");
+    let link = UdpLink::open(ANY, to, LinkControl::default(), 1).await.expect("a link");
     let (one, two) =
         (UdpSocket::bind(ANY).await.expect("a port"), UdpSocket::bind(ANY).await.expect("a port"));
     let mut buffer = [0; 8];
--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -10,9 +10,9 @@
 use rookspoke_decisions::Span;
 use rookspoke_emulator::scenario::{Faults, Scenario, Stage};
 use rookspoke_emulator::script;
+use rookspoke_rig::discovery::ListedState;
+use rookspoke_rig::event_log::{Event, ProcessEvent, RequestOutcome};
 use rookspoke_rig::play::{Options, Outcome, PlayError, Rig, Verdict};
-use rookspoke_rig::registry::View;
-use rookspoke_rig::seen::{End, Life, Seen};
 use rookspoke_rig::ways::Way;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -79,11 +79,11 @@
 }
 
 fn kept(outcome: &Outcome) {
-    assert_eq!(outcome.verdict, Verdict::Kept, "{:#?}", outcome.breaches);
+    assert_eq!(outcome.verdict, Verdict::Kept, "{:#?}", outcome.violations);
 }
 
 fn broken(outcome: &Outcome) -> Vec<&str> {
-    let mut rules: Vec<&str> = outcome.breaches.iter().map(|breach| breach.rule.as_str()).collect();
+    let mut rules: Vec<&str> = outcome.violations.iter().map(|violation| violation.rule.as_str()).collect();
     rules.dedup();
     rules
 }
@@ -101,7 +101,7 @@
         let (rig, outcome) = valid(SMALL).await;
         kept(&outcome);
         assert!(outcome.report.jobs > 30 && outcome.report.service > 0.8, "{:?}", outcome.report);
-        assert_eq!(rig.watch.count(|seen| matches!(seen, Seen::Figure { .. })), 3);
+        assert_eq!(rig.event_log.count(|seen| matches!(seen, Event::CounterCheck { .. })), 3);
     });
 }
 
@@ -235,8 +235,15 @@
                     discovery.notices 200ms";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        assert_eq!(rig.watch.count(|s| matches!(s, Seen::Dispatcher { life: Life::Resumed, .. })), 1);
-        assert_eq!(rig.watch.count(|s| matches!(s, Seen::Closed { end: End::Lost, .. })), 0);
+        assert_eq!(
+            rig.event_log.count(|s| matches!(s, Event::Dispatcher { event: ProcessEvent::Resumed, .. })),
+            1
+        );
+        assert_eq!(
+            rig.event_log
+                .count(|s| matches!(s, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. })),
+            0
+        );
     });
 }
 
@@ -287,11 +294,11 @@
                     incident discovery-silent at 1s for 11s";
         let (rig, outcome) = valid_while(text, |rig| async move {
             tokio::time::sleep(Duration::from_millis(1300)).await;
-            (0..2).for_each(|worker| rig.registry.sees(worker, View::Draining));
+            (0..2).for_each(|worker| rig.discovery_server.update(worker, ListedState::Draining));
         })
         .await;
         kept(&outcome);
-        let told = rig.watch.count(|seen| matches!(seen, Seen::Told { takes: false, .. }));
+        let told = rig.event_log.count(|seen| matches!(seen, Event::Notified { accepts_work: false, .. }));
         assert_eq!(told, 8, "each of four was told of two, in the end");
         let end = outcome.report.windows.last().expect("a window").service;
         assert!(end > 0.3, "they serve again once a list is there: {end}");
@@ -326,7 +333,7 @@
         tokio::time::sleep(Duration::from_millis(600)).await;
         rig.kill(0).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(rig.watch.count(|seen| matches!(seen, Seen::Reached { .. })), 0);
+        assert_eq!(rig.event_log.count(|seen| matches!(seen, Event::Reached { .. })), 0);
         assert_eq!(half.read(&mut [0; 16]).await.unwrap_or(0), 0, "its client hears of it");
         rig.start_again(0).await.expect("it starts again");
         assert_eq!(rig.dispatchers[0].clients(), Some(address), "under the same address");
@@ -340,7 +347,10 @@
                     incident kill at 3s for 1s part 1";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        assert_eq!(rig.watch.count(|s| matches!(s, Seen::Dispatcher { life: Life::Killed, .. })), 4);
+        assert_eq!(
+            rig.event_log.count(|s| matches!(s, Event::Dispatcher { event: ProcessEvent::Killed, .. })),
+            4
+        );
         let end = outcome.report.windows.last().expect("a window").service;
         assert!(rig.in_front() == 4 && end > 0.3, "{end}");
     });
@@ -358,11 +368,16 @@
                     incident restart at 2s for 9s part 1\nincident pause at 3s for 6s part 0.1";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        let lived = |which: Life| {
-            rig.watch.count(|seen| matches!(seen, Seen::Dispatcher { life, .. } if *life == which))
+        let lived = |which: ProcessEvent| {
+            rig.event_log.count(|seen| matches!(seen, Event::Dispatcher { event, .. } if *event == which))
         };
-        assert_eq!((lived(Life::Terminated), lived(Life::Ended), lived(Life::Killed)), (6, 6, 0));
-        let lost = rig.watch.count(|seen| matches!(seen, Seen::Closed { end: End::Lost, .. }));
+        assert_eq!(
+            (lived(ProcessEvent::Terminated), lived(ProcessEvent::Exited), lived(ProcessEvent::Killed)),
+            (6, 6, 0)
+        );
+        let lost = rig
+            .event_log
+            .count(|seen| matches!(seen, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. }));
         assert_eq!(lost, 0, "taken and not answered");
         assert!(rig.in_front() == 6 && outcome.report.service > 0.6, "{:?}", outcome.report);
     });
@@ -378,10 +393,10 @@
                     incident restart at 2s for 9s part 1\nincident pause at 3s for 6s part 0.3";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        let ends = |which: Life| {
-            rig.watch.count(|seen| matches!(seen, Seen::Dispatcher { life, .. } if *life == which))
+        let ends = |which: ProcessEvent| {
+            rig.event_log.count(|seen| matches!(seen, Event::Dispatcher { event, .. } if *event == which))
         };
-        assert_eq!(ends(Life::Terminated), 4);
+        assert_eq!(ends(ProcessEvent::Terminated), 4);
         assert_eq!(rig.in_front(), 4);
     });
 }
--- a/crates/rookspoke/tests/soak.rs
+++ b/crates/rookspoke/tests/soak.rs
@@ -81,7 +81,7 @@
             outcome.verdict, report.jobs, report.service, report.served, report.refused, report.rules
         );
         if outcome.verdict == Verdict::Broken {
-            println!("{drawn}{:#?}", outcome.breaches.first());
+            println!("{drawn}{:#?}", outcome.violations.first());
             broken.push(drawn);
         }
     }
