--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -166,11 +166,11 @@
 
 fn figures(rig: &Rig) -> [(&'static str, String); 7] {
     let counted = rig.load.counts();
-    let score = Score::of(&rig.scenario, &counted.asked);
+    let score = Score::of(&rig.scenario, &counted.jobs);
     [
         ("dispatchers", rig.in_front().to_string()),
         ("log workers", rig.worker_pool.available_workers().to_string()),
-        ("jobs", counted.asked.len().to_string()),
+        ("jobs", counted.jobs.len().to_string()),
         ("served", counted.served.to_string()),
         ("late", counted.late.iter().sum::<usize>().to_string()),
         ("refused, failed", format!("{}, {}", counted.refused, counted.failed)),
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -233,13 +233,13 @@
         load.run(event_log.clock().now() + Span(200_000), &jobs).await;
         event_log.finish();
         let counted = load.counts();
-        let score = Score::of(&scenario, &counted.asked);
+        let score = Score::of(&scenario, &counted.jobs);
         let (late, quantile) = (lateness.figures(), |q| counted.latency.value_at_quantile(q) as f64 / 1000.0);
         crate::say(&format!(
             "service {:.3}; {} asked, {} served ({} late), {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
              sent late by {:.1} ms (p99)\n",
             score.service,
-            counted.asked.len(),
+            counted.jobs.len(),
             counted.served,
             counted.late.iter().sum::<usize>(),
             counted.refused,
@@ -301,7 +301,7 @@
             "\r{:3} dispatchers, {:3} log workers; {} asked, {} served ({late} late), {} refused, {} failed   ",
             rig.in_front(),
             rig.worker_pool.available_workers(),
-            counted.asked.len(),
+            counted.jobs.len(),
             counted.served,
             counted.refused,
             counted.failed
--- a/crates/rig/src/invariants.rs
+++ b/crates/rig/src/invariants.rs
@@ -1,4 +1,5 @@
-//! Judges: they hold what was seen from outside against the rules, and never ask a dispatcher.
+//! Invariant checks on the event log. They judge a run by what the rig observed from outside, without querying a
+//! dispatcher.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,45 +9,45 @@
 use crate::event_log::{Event, ProcessEvent, RequestOutcome};
 use crate::job::JobId;
 
-/// Something that must hold all the time.
+/// A property that must hold throughout a run.
 pub trait Invariant: Send {
-    /// Its name in reports.
+    /// The invariant's name in reports.
     fn name(&self) -> &str;
-    /// Hears what was event, in order; says what it breaks.
+    /// Checks the next event, in order of time. Returns a description of the violation, if the event is one.
     fn observe(&mut self, at: Time, event: &Event) -> Option<String>;
-    /// The play is over: what is still owed?
+    /// Ends the check. Returns descriptions of the violations that show only at the end of the run.
     fn finish(&mut self, _at: Time) -> Vec<String> {
         Vec::new()
     }
 }
 
-/// A rule that was broken.
+/// A violated invariant, as reports show it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// When, in milliseconds from the start.
+    /// Time of the violation, in milliseconds from the start of the run.
     pub at_ms: f64,
-    /// The rule.
+    /// Name of the violated invariant.
     pub rule: String,
-    /// What happened.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// The lines of the timeline before it.
+    /// The last lines of the event log up to the violation.
     #[serde(rename = "around")]
     pub preceding_events: Vec<String>,
 }
 
-/// The rules' times.
+/// Time limits of the invariants.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
-    /// How long after the deadline an answer counts.
+    /// How long after the deadline a response still counts as in time.
     pub answer_slack: Span,
-    /// How long sends to a log worker go on after its drain was told.
+    /// How long requests may still reach a log worker after its drain was notified.
     pub drain_grace: Span,
-    /// What a request takes from a dispatcher to a log worker.
+    /// The longest time that a request takes from a dispatcher to a log worker.
     pub transit: Span,
 }
 
-/// The rules, and that a daemon's figures are true.
+/// All invariants, with these time limits.
 pub fn all_invariants(tolerances: Tolerances) -> Vec<Box<dyn Invariant>> {
     vec![
         Box::new(OneAnswer::new(tolerances.answer_slack)),
@@ -60,73 +61,75 @@
     ]
 }
 
-/// A request that comes so late after SIGTERM has to be answered before SIGKILL.
-const OWED_AFTER_TERM: Span = Span(700_000);
+/// A request sent later than this after SIGTERM must be answered before SIGKILL; an earlier one may still be open then.
+const OPEN_AT_KILL_WINDOW: Span = Span(700_000);
 
-/// When a dispatcher's process was last out of order, and by whose doing.
+/// The last outage of a dispatcher's process that the rig caused or found.
 #[derive(Clone, Copy)]
 struct Outage {
-    /// It still is, since then.
-    now: Option<Time>,
+    /// Start of the present outage, if there is one.
+    ongoing_since: Option<Time>,
+    /// The latest time at which the process is known to have been out of service.
     last: Time,
-    /// It was told to end, and no other process is ready yet.
+    /// When it was sent SIGTERM, until the next process is ready.
     terminated: Option<Time>,
-    /// It was killed after that.
+    /// It was killed after SIGTERM.
     killed: bool,
 }
 
-/// Dispatchers that were out, and when last: what they held then is nobody's fault but of who stopped them. One that was
-/// told to end is still owed to its clients.
+/// Outages by dispatcher. Jobs that a dispatcher held in an outage are exempt, since the rig caused their loss. A
+/// dispatcher that was sent SIGTERM still has to answer its clients.
 #[derive(Default)]
 struct Outages(HashMap<usize, Outage>);
 
 impl Outages {
     fn observe(&mut self, at: Time, event: &Event) {
         let Event::Dispatcher { dispatcher, event: process_event } = event else { return };
-        let none = Outage { now: None, last: Time(i64::MIN), terminated: None, killed: false };
-        let one = self.0.entry(*dispatcher).or_insert(none);
+        let none = Outage { ongoing_since: None, last: Time(i64::MIN), terminated: None, killed: false };
+        let outage = self.0.entry(*dispatcher).or_insert(none);
         match process_event {
-            ProcessEvent::Terminated => one.terminated = Some(at),
-            ProcessEvent::Killed if one.terminated.is_some() => one.killed = true,
-            ProcessEvent::Exited if one.terminated.is_some() => {}
+            ProcessEvent::Terminated => outage.terminated = Some(at),
+            ProcessEvent::Killed if outage.terminated.is_some() => outage.killed = true,
+            ProcessEvent::Exited if outage.terminated.is_some() => {}
             ProcessEvent::Killed | ProcessEvent::Exited | ProcessEvent::Stopped | ProcessEvent::Crashed => {
-                (one.now, one.last) = (one.now.or(Some(at)), at)
+                (outage.ongoing_since, outage.last) = (outage.ongoing_since.or(Some(at)), at)
             }
             ProcessEvent::Ready | ProcessEvent::Resumed => {
-                let terminated = one.terminated.filter(|_| *process_event == ProcessEvent::Resumed);
-                *one = Outage { now: None, last: at, terminated, killed: one.killed && terminated.is_some() }
+                let terminated = outage.terminated.filter(|_| *process_event == ProcessEvent::Resumed);
+                let killed = outage.killed && terminated.is_some();
+                *outage = Outage { ongoing_since: None, last: at, terminated, killed }
             }
             ProcessEvent::Started => {}
         }
     }
 
-    /// Whether it was out of order at any time since then.
+    /// Whether the dispatcher was out of service at any time since `since`.
     fn was_out(&self, dispatcher: usize, since: Time) -> bool {
-        self.0.get(&dispatcher).is_some_and(|outage| outage.now.is_some() || outage.last >= since)
+        self.0.get(&dispatcher).is_some_and(|outage| outage.ongoing_since.is_some() || outage.last >= since)
     }
 
-    /// Whether a job that had no answer is excused. One that no log worker got may have crossed the end of its connection
-    /// unread, which its client sends again.
-    fn excuse(&self, dispatcher: usize, sent: Time, reached: bool) -> bool {
+    /// Whether a job without an answer is exempt. One that reached no log worker may have been sent while the dispatcher
+    /// closed the connection, so that it was never read and its client sends it again.
+    fn is_exempt(&self, dispatcher: usize, sent: Time, reached: bool) -> bool {
         let Some(outage) = self.0.get(&dispatcher) else { return false };
         if self.was_out(dispatcher, sent) {
             return true;
         }
         let Some(terminated) = outage.terminated else { return false };
-        !reached || (outage.killed && sent <= terminated + OWED_AFTER_TERM)
+        !reached || (outage.killed && sent <= terminated + OPEN_AT_KILL_WINDOW)
     }
 }
 
-/// A job that a client has sent and that has not ended.
+/// A job that a client has sent and whose request has not ended.
 struct OpenJob {
     dispatcher: usize,
     sent: Time,
     deadline: Time,
-    /// A log worker got it.
+    /// A log worker received it.
     reached: bool,
 }
 
-/// Each job that was taken gets one final answer, in time.
+/// Each job that a dispatcher accepted gets exactly one final answer, in time.
 pub struct OneAnswer {
     slack: Span,
     open: HashMap<u64, OpenJob>,
@@ -134,7 +137,7 @@
 }
 
 impl OneAnswer {
-    /// With this slack after the deadline.
+    /// Creates the check; answers count as in time up to `slack` after the deadline.
     pub fn new(slack: Span) -> Self {
         OneAnswer { slack, open: HashMap::new(), outages: Outages::default() }
     }
@@ -162,12 +165,12 @@
             Event::Closed { id, outcome, .. } => {
                 let id = *id;
                 let Some(OpenJob { dispatcher, sent, deadline, reached }) = self.open.remove(&id) else {
-                    return Some(format!("job {} ended twice", JobId(id)));
+                    return Some(format!("the request of job {} ended twice", JobId(id)));
                 };
-                let what = match outcome {
+                let failure = match outcome {
                     RequestOutcome::NotConnected => return None,
-                    RequestOutcome::ConnectionLost => "was lost with its connection",
-                    RequestOutcome::TimedOut => "got no answer",
+                    RequestOutcome::ConnectionLost => "lost its connection before the answer was complete",
+                    RequestOutcome::TimedOut => "got no answer before its client timed out",
                     RequestOutcome::Served | RequestOutcome::Refused | RequestOutcome::Failed
                         if at > deadline + self.slack =>
                     {
@@ -175,26 +178,28 @@
                     }
                     RequestOutcome::Served | RequestOutcome::Refused | RequestOutcome::Failed => return None,
                 };
-                let excused = self.outages.excuse(dispatcher, sent, reached);
-                (!excused).then(|| format!("job {} of n{dispatcher} {what}", JobId(id)))
+                let exempt = self.outages.is_exempt(dispatcher, sent, reached);
+                (!exempt).then(|| format!("job {} of n{dispatcher} {failure}", JobId(id)))
             }
             _ => None,
         }
     }
 
     fn finish(&mut self, _: Time) -> Vec<String> {
-        let no_end =
-            |(id, job): (u64, OpenJob)| format!("job {} of n{} has no end", JobId(id), job.dispatcher);
-        let all = self.open.drain().map(no_end);
+        let still_open = |(id, job): (u64, OpenJob)| {
+            format!("the request of job {} to n{} is still open", JobId(id), job.dispatcher)
+        };
+        let all = self.open.drain().map(still_open);
         all.collect()
     }
 }
 
-/// What may have run and must never run twice is not sent again, and not called harmless.
+/// A job that must never run twice is not sent to another log worker once it may have run, and is not refused to its
+/// client as if it had not run.
 #[derive(Default)]
 pub struct NoDuplicate {
     once: HashSet<u64>,
-    /// Attempts that reached a log worker, less those turned away.
+    /// For each job, the attempts that reached a log worker, less those that were turned away.
     may_have_run: HashMap<u64, i32>,
 }
 
@@ -210,7 +215,10 @@
                 let runs = self.may_have_run.entry(*id).or_default();
                 *runs += 1;
                 if *runs > 1 {
-                    return Some(format!("job {} must not run twice and reached w{worker} too", JobId(*id)));
+                    return Some(format!(
+                        "job {} must not run twice, but another attempt reached w{worker}",
+                        JobId(*id)
+                    ));
                 }
             }
             Event::TurnedAway { id, .. } => {
@@ -221,7 +229,7 @@
             Event::Closed { id, outcome, .. } if self.once.contains(id) => {
                 let ran = self.may_have_run.get(id).is_some_and(|runs| *runs > 0);
                 if *outcome == RequestOutcome::Refused && ran {
-                    return Some(format!("job {} may have run and was refused", JobId(*id)));
+                    return Some(format!("job {} was refused although it may have run", JobId(*id)));
                 }
             }
             _ => {}
@@ -230,16 +238,18 @@
     }
 }
 
-/// Nothing new reaches a log worker longer than the grace after its dispatcher was told that it takes none.
+/// No new request reaches a draining log worker after the grace period, counted from the first notice of the drain to the
+/// dispatcher that sent it.
 pub struct CleanDrain {
     grace: Span,
-    told: HashMap<(usize, usize), Time>,
+    /// When each dispatcher was first notified of a log worker's drain, by dispatcher and log worker.
+    notified: HashMap<(usize, usize), Time>,
 }
 
 impl CleanDrain {
-    /// With this grace; what links add on the way is to be added to it.
+    /// Creates the check; `grace` includes the delay that links add.
     pub fn new(grace: Span) -> Self {
-        CleanDrain { grace, told: HashMap::new() }
+        CleanDrain { grace, notified: HashMap::new() }
     }
 }
 
@@ -251,21 +261,23 @@
     fn observe(&mut self, at: Time, event: &Event) -> Option<String> {
         match event {
             Event::Notified { dispatcher, worker, accepts_work: true } => {
-                self.told.remove(&(*dispatcher, *worker));
+                self.notified.remove(&(*dispatcher, *worker));
             }
             Event::Notified { dispatcher, worker, accepts_work: false } => {
-                self.told.entry((*dispatcher, *worker)).or_insert(at);
+                self.notified.entry((*dispatcher, *worker)).or_insert(at);
             }
-            // A new process knows only what it is told itself.
+            // A new process knows only what it is notified of itself.
             Event::Dispatcher { dispatcher, event: ProcessEvent::Started } => {
-                self.told.retain(|(of, _), _| of != dispatcher);
+                self.notified.retain(|(of, _), _| of != dispatcher);
             }
             Event::Reached { id, worker, .. } => {
                 let dispatcher = JobId(*id).dispatcher();
-                let since = self.told.get(&(dispatcher, *worker))?;
+                let since = self.notified.get(&(dispatcher, *worker))?;
                 if at - *since > self.grace {
                     let late = (at - *since).ms();
-                    return Some(format!("n{dispatcher} sent to w{worker}, told {late:.0} ms before"));
+                    return Some(format!(
+                        "n{dispatcher} sent a request to w{worker} {late:.0} ms after the notice of its drain"
+                    ));
                 }
             }
             _ => {}
@@ -274,20 +286,20 @@
     }
 }
 
-/// A log worker may be told of more time than the client has left by this much: the dispatcher may be held up between
-/// looking at its clock and writing.
+/// A request may state this much more time than its client has left, since the dispatcher may be delayed between reading
+/// its clock and writing the request.
 const DEADLINE_SLACK: Span = Span(150_000);
 
-/// The time that a log worker is told to have for a job is no longer than its client will wait.
+/// The remaining time that a request states to a log worker is no longer than its client will wait.
 pub struct TrueDeadline {
     transit: Span,
-    /// When each open job was sent, and when its client gives up.
+    /// For each open job, when it was sent and the client's deadline.
     open: HashMap<u64, (Time, Time)>,
     outages: Outages,
 }
 
 impl TrueDeadline {
-    /// A invariant of requests that take so long on their way at most.
+    /// Creates the check for requests that take `transit` at most from a dispatcher to a log worker.
     pub fn new(transit: Span) -> Self {
         TrueDeadline { transit, open: HashMap::new(), outages: Outages::default() }
     }
@@ -314,31 +326,35 @@
                 let Some(left_ms) = left_ms else {
                     return Some(format!("job {} reached w{worker} without a deadline", JobId(*id)));
                 };
-                let beyond = Span::from_ms(*left_ms) - (deadline - at);
-                let is_true = beyond <= DEADLINE_SLACK + self.transit;
-                if is_true || self.outages.was_out(JobId(*id).dispatcher(), sent) {
+                let excess = Span::from_ms(*left_ms) - (deadline - at);
+                let in_bounds = excess <= DEADLINE_SLACK + self.transit;
+                if in_bounds || self.outages.was_out(JobId(*id).dispatcher(), sent) {
                     return None;
                 }
-                Some(format!("w{worker} was told {:.0} ms too many for job {}", beyond.ms(), JobId(*id)))
+                Some(format!(
+                    "job {} reached w{worker} with {:.0} ms more than its client has left",
+                    JobId(*id),
+                    excess.ms()
+                ))
             }
             _ => None,
         }
     }
 }
 
-/// How long after a client has left an attempt may still begin.
-const LEFT_GRACE: Span = Span(100_000);
+/// How long after the end of a client's request an attempt may still reach a log worker.
+const CLOSED_GRACE: Span = Span(100_000);
 
-/// Nothing is sent to log workers for a job that is over.
+/// No attempt is sent to a log worker after the request of its client has ended.
 pub struct NoLateAttempt {
     transit: Span,
-    /// When jobs ended.
+    /// When the request of each job ended.
     ended: HashMap<u64, Time>,
     outages: Outages,
 }
 
 impl NoLateAttempt {
-    /// A invariant of requests that take so long on their way at most.
+    /// Creates the check for requests that take `transit` at most from a dispatcher to a log worker.
     pub fn new(transit: Span) -> Self {
         NoLateAttempt { transit, ended: HashMap::new(), outages: Outages::default() }
     }
@@ -358,11 +374,11 @@
             }
             Event::Reached { id, worker, .. } => {
                 let ended = *self.ended.get(id)?;
-                let late = at - ended > LEFT_GRACE + self.transit;
-                let excused = self.outages.was_out(JobId(*id).dispatcher(), ended);
-                (late && !excused).then(|| {
+                let late = at - ended > CLOSED_GRACE + self.transit;
+                let exempt = self.outages.was_out(JobId(*id).dispatcher(), ended);
+                (late && !exempt).then(|| {
                     let after = (at - ended).ms();
-                    format!("job {} reached w{worker} {after:.0} ms after its end", JobId(*id))
+                    format!("job {} reached w{worker} {after:.0} ms after its request ended", JobId(*id))
                 })
             }
             _ => None,
@@ -370,7 +386,7 @@
     }
 }
 
-/// No cold log worker is pushed over by those who know that it is cold.
+/// No log worker in slow start is overloaded by dispatchers that had been notified of its start.
 pub struct GentleStart;
 
 impl Invariant for GentleStart {
@@ -380,13 +396,15 @@
 
     fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
         match event {
-            Event::Overloaded { worker, notified: true } => Some(format!("w{worker} was pushed over")),
+            Event::Overloaded { worker, notified: true } => {
+                Some(format!("w{worker} was overloaded in slow start"))
+            }
             _ => None,
         }
     }
 }
 
-/// What a dispatcher says of itself is what was seen of it.
+/// A dispatcher's own counters match the rig's counts.
 pub struct TrueFigures;
 
 impl Invariant for TrueFigures {
@@ -404,7 +422,7 @@
     }
 }
 
-/// No dispatcher ends unless it is told to.
+/// No dispatcher exits without a signal from the rig.
 pub struct NoCrash;
 
 impl Invariant for NoCrash {
@@ -415,7 +433,7 @@
     fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
         match event {
             Event::Dispatcher { dispatcher, event: ProcessEvent::Crashed } => {
-                Some(format!("n{dispatcher} ended by itself"))
+                Some(format!("n{dispatcher} exited without a signal from the rig"))
             }
             _ => None,
         }
@@ -437,11 +455,11 @@
         Event::Closed { id, dispatcher: 0, outcome }
     }
 
-    /// What breaks, by rule, when this is event, each at its millisecond.
-    fn broken(story: &[(i64, Event)]) -> Vec<String> {
+    /// The names of the invariants that a sequence of events violates; each event has its time in milliseconds.
+    fn broken(events: &[(i64, Event)]) -> Vec<String> {
         let mut invariants = all_invariants(TOLERANCES);
         let mut rules = Vec::new();
-        for (ms, event) in story {
+        for (ms, event) in events {
             for invariant in &mut invariants {
                 rules.extend(invariant.observe(Time(ms * 1000), event).map(|_| invariant.name().to_owned()));
             }
@@ -453,7 +471,7 @@
     }
 
     #[test]
-    fn each_job_is_owed_one_answer_in_time() {
+    fn each_job_gets_one_answer_in_time() {
         let process = |event| Event::Dispatcher { dispatcher: 0, event };
         assert!(broken(&[(0, sent(1, false)), (1066, closed(1, RequestOutcome::Served))]).is_empty());
         let cases = [
@@ -466,7 +484,7 @@
                 (6, closed(1, RequestOutcome::Served)),
             ],
             vec![(0, sent(1, false))],
-            // It was out before the job came, and is up.
+            // The outage ended before the job was sent.
             vec![
                 (0, process(ProcessEvent::Stopped)),
                 (5, process(ProcessEvent::Resumed)),
@@ -482,11 +500,11 @@
             (4, process(ProcessEvent::Killed)),
             (5, closed(1, RequestOutcome::ConnectionLost)),
         ];
-        assert!(broken(&killed).is_empty(), "whoever killed it is to blame");
+        assert!(broken(&killed).is_empty(), "the rig killed the dispatcher");
     }
 
     #[test]
-    fn a_dispatcher_that_was_told_to_end_owes_what_came_late_or_was_cut_off_by_itself() {
+    fn a_terminated_dispatcher_must_answer_requests_sent_late_or_open_at_its_exit() {
         let process = |event| Event::Dispatcher { dispatcher: 0, event };
         let reached = Event::Reached { id: 1, worker: 2, left_ms: Some(0.0) };
         let lost_after = |sent_at: i64, end: ProcessEvent, is_reached: bool| {
@@ -495,11 +513,17 @@
             story.extend([(900, process(end)), (901, closed(1, RequestOutcome::ConnectionLost))]);
             !broken(&story).is_empty()
         };
-        assert!(!lost_after(700, ProcessEvent::Killed, true), "it may be open at the kill");
+        assert!(
+            !lost_after(700, ProcessEvent::Killed, true),
+            "a request of this age may still be open at the kill"
+        );
         assert!(lost_after(701, ProcessEvent::Killed, true));
-        assert!(lost_after(100, ProcessEvent::Exited, true), "it ended before its answer");
-        assert!(!lost_after(701, ProcessEvent::Exited, false), "it crossed the end of its connection");
-        // The next process is not excused by the end of the last.
+        assert!(lost_after(100, ProcessEvent::Exited, true), "it exited before it had answered");
+        assert!(
+            !lost_after(701, ProcessEvent::Exited, false),
+            "the request was sent while the connection was closed"
+        );
+        // The termination of the previous process does not exempt the next one.
         let next = [
             (0, process(ProcessEvent::Terminated)),
             (5, process(ProcessEvent::Killed)),
@@ -511,10 +535,10 @@
     }
 
     #[test]
-    fn what_may_have_run_is_neither_sent_again_nor_refused() {
+    fn a_job_that_may_have_run_is_neither_sent_again_nor_refused() {
         let reached = |id| Event::Reached { id, worker: 2, left_ms: Some(0.0) };
         let away = |id| Event::TurnedAway { id, worker: 2 };
-        let end = |end| (9, closed(1, end));
+        let end = |outcome| (9, closed(1, outcome));
         let twice =
             |once| vec![(0, sent(1, once)), (1, reached(1)), (2, reached(1)), end(RequestOutcome::Served)];
         assert_eq!(broken(&twice(true)), ["no duplicate"]);
@@ -533,7 +557,7 @@
     }
 
     #[test]
-    fn the_first_word_of_a_drain_counts_and_a_new_process_knows_nothing_of_it() {
+    fn drain_grace_counts_from_the_first_notice_and_a_new_process_has_had_none() {
         let notified = |accepts_work| Event::Notified { dispatcher: 0, worker: 2, accepts_work };
         let job = |at| {
             vec![
@@ -551,23 +575,23 @@
     }
 
     #[test]
-    fn a_log_worker_is_told_no_more_time_than_its_client_has_left() {
+    fn a_request_states_no_more_time_than_its_client_has_left() {
         let reached = |left_ms| Event::Reached { id: 1, worker: 2, left_ms };
         let at_700 = |left_ms| {
             broken(&[(0, sent(1, false)), (700, reached(left_ms)), (800, closed(1, RequestOutcome::Served))])
         };
-        assert!(at_700(Some(500.0)).is_empty(), "300 ms, the slack and the way");
+        assert!(at_700(Some(500.0)).is_empty(), "300 ms left, the slack and the transit time");
         assert_eq!(at_700(Some(501.0)), ["true deadline"]);
         assert_eq!(at_700(None), ["true deadline"]);
         let held_up =
             [(0, sent(1, false)), (10, Event::Dispatcher { dispatcher: 0, event: ProcessEvent::Stopped })];
         let story =
             [held_up.to_vec(), vec![(700, reached(Some(900.0))), (800, closed(1, RequestOutcome::Served))]];
-        assert!(broken(&story.concat()).is_empty(), "it stood still on the way");
+        assert!(broken(&story.concat()).is_empty(), "the dispatcher was suspended meanwhile");
     }
 
     #[test]
-    fn nothing_is_sent_for_a_job_that_is_over() {
+    fn no_attempt_is_sent_after_the_request_of_its_client_ended() {
         let reached = |at| (at, Event::Reached { id: 1, worker: 2, left_ms: Some(0.0) });
         let gone = [(0, sent(1, false)), (100, closed(1, RequestOutcome::Failed))];
         assert!(broken(&[gone.to_vec(), vec![reached(250)]].concat()).is_empty());
@@ -575,7 +599,7 @@
     }
 
     #[test]
-    fn falls_figures_and_ends_are_judged() {
+    fn overloads_counter_mismatches_and_crashes_are_violations() {
         assert_eq!(broken(&[(0, Event::Overloaded { worker: 1, notified: true })]), ["gentle start"]);
         assert!(broken(&[(0, Event::Overloaded { worker: 1, notified: false })]).is_empty());
         let figure =
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 pub struct LoadCounts {
     /// Each job that was asked for.
-    pub asked: Vec<Asked>,
+    pub jobs: Vec<Asked>,
     /// Time to an answer, from when it was meant to be sent, in microseconds.
     pub latency: Histogram<u64>,
     /// Jobs served, in time or not.
@@ -150,7 +150,7 @@
         // Three digits, from 1 us to an hour.
         let latency = Histogram::new_with_bounds(1, 3_600_000_000, 3);
         let counted = LoadCounts {
-            asked: Vec::new(),
+            jobs: Vec::new(),
             latency: latency.unwrap_or_else(|_| unreachable!("bounds that hold")),
             served: 0,
             refused: 0,
@@ -185,8 +185,8 @@
             let (load, mut arrival) = (self.clone(), *arrival);
             let number = {
                 let mut counted = lock(&self.0.counted);
-                counted.asked.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
-                counted.asked.len() - 1
+                counted.jobs.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
+                counted.jobs.len() - 1
             };
             arrival.asked = meant;
             all.spawn(async move { load.job(number, arrival).await });
@@ -211,7 +211,7 @@
                     RequestOutcome::Served => {
                         let took = now - arrival.asked;
                         let aim = class.get("aim") / 1000.0 + class.get("stretch") * arrival.work;
-                        counted.asked[number].in_time = took.secs() <= aim;
+                        counted.jobs[number].in_time = took.secs() <= aim;
                         counted.late[arrival.class] += usize::from(took.secs() > aim);
                         counted.served += 1;
                         counted.latency.saturating_record(took.0.max(1) as u64);
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -571,10 +571,10 @@
     /// The figures that the emulator gives of a run, from what was seen here.
     fn report(&self, violations: &[Violation]) -> Report {
         let counted = self.load.counts();
-        let score = Score::of(&self.scenario, &counted.asked);
+        let score = Score::of(&self.scenario, &counted.jobs);
         let classes = self.scenario.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
-            jobs: counted.asked.iter().filter(|job| job.class == class).count(),
+            jobs: counted.jobs.iter().filter(|job| job.class == class).count(),
             late: counted.late[class],
             service: score.classes[class],
         });
@@ -592,7 +592,7 @@
             worst_class: score.worst_class,
             windows: score.windows,
             classes: classes.collect(),
-            jobs: counted.asked.len(),
+            jobs: counted.jobs.len(),
             served: counted.served as usize,
             refused: counted.refused,
             failed: counted.failed,
