--- a/crates/rig/src/worker_pool.rs
+++ b/crates/rig/src/worker_pool.rs
@@ -1,4 +1,5 @@
-//! Log workers on sockets: the emulator's own model behind the platform's protocol, hundreds in one process.
+//! The pool of stand-in log workers: the emulator's model of a log worker behind the platform's protocol on real sockets,
+//! hundreds of them in one process.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -32,89 +33,97 @@
 use crate::job::JobId;
 use crate::response::{plain_response, BodyChunk, ConnectionReset, StreamBody};
 
-/// How often a cold log worker's speed is taken anew.
-const STEP: Span = Span(100_000);
-/// The largest body of a job, in bytes.
+/// Interval at which the speed of a log worker in slow start is updated.
+const SLOW_START_STEP: Span = Span(100_000);
+/// Maximum size of a job's body, in bytes.
 const MAX_BODY: usize = 64 * 1024;
 
-/// What a job's body says: what it asks of a log worker.
+/// The body of a job: the resources that it takes of a log worker.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct JobBody {
-    /// Slots that it takes.
+    /// Number of slots that the job occupies.
     pub slots: f64,
     /// Running time at speed 1, in seconds.
     pub work: f64,
-    /// What it is about.
+    /// Key of the data that the job reads.
     pub key: u64,
-    /// What it is worth.
+    /// Value of the job to its client.
     pub worth: f64,
 }
 
-/// How a log worker's process is.
+/// State of a log worker's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    Up(u64),
-    /// Nothing is refused and nothing answered.
+enum ProcessState {
+    /// It serves connections; the number is the epoch of the process.
+    Running(u64),
+    /// The system still accepts connections for it, but it answers nothing.
     Silent,
-    Down,
+    Stopped,
 }
 
-struct Machine {
+struct WorkerProcess {
     worker: Worker,
-    state: watch::Sender<State>,
+    state: watch::Sender<ProcessState>,
     draining: bool,
-    /// Counts the processes.
+    /// Incremented with each start and end of the process.
     epoch: u64,
-    /// Counts plans for its next step; older ones are void.
+    /// Number of the last timer set for the model's next change; earlier timers are obsolete.
     version: u64,
     connections: usize,
+    /// Load reports, each with the time from which it is visible.
     reports: VecDeque<(Time, String)>,
     rng: SmallRng,
 }
 
-impl Machine {
+impl WorkerProcess {
     fn is_up(&self) -> bool {
-        matches!(*self.state.borrow(), State::Up(_))
+        matches!(*self.state.borrow(), ProcessState::Running(_))
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
+    /// The next change in a log worker's model, with the version that it was set for.
     Worker(usize, u64),
+    /// The end of the store's next transfer, with the version that it was set for.
     Store(u64),
+    /// A log worker's next load report.
     Report(usize),
 }
 
 struct Attempt {
+    /// The job's number.
     id: u64,
     worker: usize,
-    say: mpsc::Sender<BodyChunk>,
+    /// Where the lines of the response go.
+    chunks: mpsc::Sender<BodyChunk>,
 }
 
-struct Works {
-    machines: Vec<Machine>,
+struct PoolState {
+    processes: Vec<WorkerProcess>,
     store: Store,
     store_version: u64,
-    due: BinaryHeap<Reverse<(Time, Due)>>,
+    timers: BinaryHeap<Reverse<(Time, Timer)>>,
     attempts: HashMap<usize, Attempt>,
-    next: usize,
-    /// Judges who pushed a cold one over.
+    next_attempt: usize,
+    /// Decides who caused the overload of a log worker in slow start.
     checker: Checker,
-    falls_blamed: u64,
-    late_reports: Span,
-    /// Attempts that processes died over.
-    buried: Vec<Attempt>,
-    openings: u64,
+    /// Overloads so far that were caused by dispatchers that had been notified of the start.
+    blamed_overloads: u64,
+    extra_report_delay: Span,
+    /// Attempts whose process has ended. Their response bodies stay open until the log worker starts again.
+    orphaned_attempts: Vec<Attempt>,
+    connections_opened: u64,
     probes: u64,
 }
 
-/// The log workers of a play. Clones are the same.
+/// All log workers of a run. Clones share the same pool.
 #[derive(Clone)]
 pub struct WorkerPool(Arc<Inner>);
 
 struct Inner {
-    s: Scenario,
-    works: Mutex<Works>,
+    scenario: Scenario,
+    state: Mutex<PoolState>,
     changed: Notify,
     event_log: EventLog,
     lateness: Lateness,
@@ -123,32 +132,33 @@
     mean_work: f64,
 }
 
-/// What became of an attempt that came.
-enum Taken {
-    Away,
-    /// The process fell over it.
-    Broke,
-    Held(usize, mpsc::Receiver<BodyChunk>),
+/// Result of an attempt's arrival at a log worker.
+enum Admission {
+    Rejected,
+    /// The attempt overloaded the process, which ended.
+    ProcessFailed,
+    /// The number of the attempt and the lines of its response.
+    Accepted(usize, mpsc::Receiver<BodyChunk>),
 }
 
 impl WorkerPool {
-    /// Starts them all, at these addresses; they say to the registry what they do.
+    /// Starts one log worker for each listener. Changes of their state are passed on to `discovery_server`.
     ///
     /// # Errors
-    /// An address is taken, or there are no descriptors left.
+    /// The address of a listener cannot be read.
     pub async fn start(
-        s: &Scenario,
+        scenario: &Scenario,
         seed: u64,
         listeners: Vec<TcpListener>,
         discovery_server: DiscoveryServer,
         event_log: EventLog,
         lateness: Lateness,
     ) -> std::io::Result<Self> {
-        let mut machines = Vec::new();
+        let mut processes = Vec::new();
         for number in 0..listeners.len() {
-            machines.push(Machine {
-                worker: Worker::new(make(s, seed, number)),
-                state: watch::Sender::new(State::Up(0)),
+            processes.push(WorkerProcess {
+                worker: Worker::new(make(scenario, seed, number)),
+                state: watch::Sender::new(ProcessState::Running(0)),
                 draining: false,
                 epoch: 0,
                 version: 0,
@@ -157,83 +167,84 @@
                 rng: stream(seed, Stream::Report, number as u64),
             });
         }
-        let mut due = BinaryHeap::new();
-        for (number, machine) in machines.iter_mut().enumerate() {
-            // Not all in the same moment.
-            let first = machine.rng.random_range(0..=s.span("report.every").0);
-            due.push(Reverse((event_log.clock().now() + Span(first), Due::Report(number))));
+        let mut timers = BinaryHeap::new();
+        for (number, process) in processes.iter_mut().enumerate() {
+            // Spread over one interval, so that the log workers do not all report at the same moment.
+            let first = process.rng.random_range(0..=scenario.span("report.every").0);
+            timers.push(Reverse((event_log.clock().now() + Span(first), Timer::Report(number))));
         }
-        let works = Works {
-            machines,
-            store: Store::new(s.get("store.together")),
+        let pool = PoolState {
+            processes,
+            store: Store::new(scenario.get("store.together")),
             store_version: 0,
-            due,
+            timers,
             attempts: HashMap::new(),
-            next: 0,
+            next_attempt: 0,
             checker: Checker::new(Figures {
-                answer_slack: s.span("rules.answer-slack"),
-                drain_grace: s.span("rules.drain-grace"),
-                fall_multiple: s.get("rules.fall-multiple"),
-                fall_span: s.span("rules.fall-span"),
+                answer_slack: scenario.span("rules.answer-slack"),
+                drain_grace: scenario.span("rules.drain-grace"),
+                fall_multiple: scenario.get("rules.fall-multiple"),
+                fall_span: scenario.span("rules.fall-span"),
                 alone: false,
             }),
-            falls_blamed: 0,
-            late_reports: Span(0),
-            buried: Vec::new(),
-            openings: 0,
+            blamed_overloads: 0,
+            extra_report_delay: Span(0),
+            orphaned_attempts: Vec::new(),
+            connections_opened: 0,
             probes: 0,
         };
         let addresses: std::io::Result<Vec<SocketAddr>> = listeners.iter().map(|l| l.local_addr()).collect();
         let worker_pool = WorkerPool(Arc::new(Inner {
-            s: s.clone(),
-            works: Mutex::new(works),
+            scenario: scenario.clone(),
+            state: Mutex::new(pool),
             changed: Notify::new(),
             event_log,
             lateness,
             discovery_server,
             addresses: addresses?,
-            mean_work: s.mean_work(),
+            mean_work: scenario.mean_work(),
         }));
         for (number, listener) in listeners.into_iter().enumerate() {
             tokio::spawn(worker_pool.clone().listen(number, listener));
         }
-        tokio::spawn(worker_pool.clone().drive());
+        tokio::spawn(worker_pool.clone().run_timers());
         Ok(worker_pool)
     }
 
-    fn works(&self) -> MutexGuard<'_, Works> {
-        self.0.works.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PoolState> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Time {
         self.0.event_log.clock().now()
     }
 
-    /// Does what is due, in order, for ever.
-    async fn drive(self) {
+    /// Runs timers as they expire, in order of time, without end.
+    async fn run_timers(self) {
         loop {
             let now = self.now();
             let next = {
-                let mut works = self.works();
-                while let Some(Reverse((at, due))) = works.due.peek().copied().filter(|next| next.0 .0 <= now)
+                let mut pool = self.lock();
+                while let Some(Reverse((at, timer))) =
+                    pool.timers.peek().copied().filter(|next| next.0 .0 <= now)
                 {
-                    works.due.pop();
-                    let void = match due {
-                        Due::Worker(worker, version) => works.machines[worker].version != version,
-                        Due::Store(version) => works.store_version != version,
-                        Due::Report(_) => false,
+                    pool.timers.pop();
+                    let obsolete = match timer {
+                        Timer::Worker(worker, version) => pool.processes[worker].version != version,
+                        Timer::Store(version) => pool.store_version != version,
+                        Timer::Report(_) => false,
                     };
-                    if void {
+                    if obsolete {
                         continue;
                     }
                     self.0.lateness.record(now - at);
-                    match due {
-                        Due::Worker(worker, _) => self.step(&mut works, worker),
-                        Due::Store(_) => self.step_store(&mut works),
-                        Due::Report(worker) => self.report(&mut works, worker),
+                    match timer {
+                        Timer::Worker(worker, _) => self.advance_worker(&mut pool, worker),
+                        Timer::Store(_) => self.advance_store(&mut pool),
+                        Timer::Report(worker) => self.create_report(&mut pool, worker),
                     }
                 }
-                works.due.peek().map(|next| next.0 .0)
+                pool.timers.peek().map(|next| next.0 .0)
             };
             let clock = self.0.event_log.clock();
             tokio::select! {
@@ -243,329 +254,335 @@
         }
     }
 
-    // The model, as the emulator moves it.
+    // The model, advanced in the same way as in the emulator.
 
-    fn replan(&self, works: &mut Works, worker: usize) {
+    fn schedule_worker(&self, pool: &mut PoolState, worker: usize) {
         let now = self.now();
-        let machine = &mut works.machines[worker];
-        machine.version += 1;
-        let mut next = machine.worker.next_end(now);
-        if machine.worker.is_cold(now) && !machine.worker.is_idle() {
-            // It speeds up meanwhile.
-            next = Some(next.map_or(now + STEP, |next| next.min(now + STEP)));
+        let process = &mut pool.processes[worker];
+        process.version += 1;
+        let mut next = process.worker.next_end(now);
+        if process.worker.is_cold(now) && !process.worker.is_idle() {
+            // Its speed rises during slow start, so the next end is computed anew at each step.
+            next = Some(next.map_or(now + SLOW_START_STEP, |next| next.min(now + SLOW_START_STEP)));
         }
         if let Some(next) = next {
-            works.due.push(Reverse((next, Due::Worker(worker, machine.version))));
+            pool.timers.push(Reverse((next, Timer::Worker(worker, process.version))));
             self.0.changed.notify_one();
         }
     }
 
-    fn replan_store(&self, works: &mut Works) {
-        works.store_version += 1;
-        if let Some(next) = works.store.next_end() {
-            works.due.push(Reverse((next, Due::Store(works.store_version))));
+    fn schedule_store(&self, pool: &mut PoolState) {
+        pool.store_version += 1;
+        if let Some(next) = pool.store.next_end() {
+            pool.timers.push(Reverse((next, Timer::Store(pool.store_version))));
             self.0.changed.notify_one();
         }
     }
 
-    fn step(&self, works: &mut Works, worker: usize) {
-        works.machines[worker].worker.advance(self.now());
-        for job in works.machines[worker].worker.take_done() {
-            if let Some(attempt) = works.attempts.remove(&job.attempt) {
+    fn advance_worker(&self, pool: &mut PoolState, worker: usize) {
+        pool.processes[worker].worker.advance(self.now());
+        for job in pool.processes[worker].worker.take_done() {
+            if let Some(attempt) = pool.attempts.remove(&job.attempt) {
                 self.0.event_log.record(Event::Finished { id: attempt.id, worker });
-                self.say(&attempt, "done", true);
+                self.send_state(&attempt, "done", true);
             }
         }
-        self.begin(works, worker);
+        self.start_jobs(pool, worker);
     }
 
-    fn begin(&self, works: &mut Works, worker: usize) {
+    fn start_jobs(&self, pool: &mut PoolState, worker: usize) {
         let now = self.now();
-        while let Some((job, begins)) = works.machines[worker].worker.start_next() {
+        while let Some((job, begins)) = pool.processes[worker].worker.start_next() {
             if begins == Begins::Fetches {
-                works.store.advance(now);
-                works.store.begin((worker, job.attempt), self.0.s.span("store.fetch"));
-                self.replan_store(works);
+                pool.store.advance(now);
+                pool.store.begin((worker, job.attempt), self.0.scenario.span("store.fetch"));
+                self.schedule_store(pool);
             }
-            if let Some(attempt) = works.attempts.get(&job.attempt) {
+            if let Some(attempt) = pool.attempts.get(&job.attempt) {
                 self.0.event_log.record(Event::Started { id: attempt.id, worker });
-                self.say(attempt, "started", false);
+                self.send_state(attempt, "started", false);
             }
         }
-        self.replan(works, worker);
+        self.schedule_worker(pool, worker);
     }
 
-    fn step_store(&self, works: &mut Works) {
+    fn advance_store(&self, pool: &mut PoolState) {
         let now = self.now();
-        works.store.advance(now);
-        for (worker, attempt) in works.store.take_done() {
-            works.machines[worker].worker.advance(now);
-            works.machines[worker].worker.fetched(attempt);
-            self.replan(works, worker);
+        pool.store.advance(now);
+        for (worker, attempt) in pool.store.take_done() {
+            pool.processes[worker].worker.advance(now);
+            pool.processes[worker].worker.fetched(attempt);
+            self.schedule_worker(pool, worker);
         }
-        self.replan_store(works);
+        self.schedule_store(pool);
     }
 
-    fn say(&self, attempt: &Attempt, state: &str, result: bool) {
+    fn send_state(&self, attempt: &Attempt, state: &str, result: bool) {
         let id = JobId(attempt.id).to_string();
         let mut line = json!({"id": id, "from": worker_name(attempt.worker), "state": state});
         if result {
             line["result"] = id.into();
         }
-        // There is room for all that is ever said of one attempt.
-        let _ = attempt.say.try_send(Ok(Bytes::from(format!("{line}\n"))));
+        // The channel's capacity of 4 holds all lines of one attempt, so this fails only where nobody reads the response.
+        let _ = attempt.chunks.try_send(Ok(Bytes::from(format!("{line}\n"))));
     }
 
-    fn take(&self, worker: usize, id: u64, left_ms: Option<f64>, facts: JobBody) -> Taken {
-        let mut works = self.works();
-        let works = &mut *works;
+    fn admit(&self, worker: usize, id: u64, left_ms: Option<f64>, body: JobBody) -> Admission {
+        let mut pool = self.lock();
+        let pool = &mut *pool;
         let now = self.now();
         self.0.event_log.record(Event::Reached { id, worker, left_ms });
-        if works.machines[worker].worker.is_cold(now) && self.falls(works, worker, id) {
-            return Taken::Broke;
+        if pool.processes[worker].worker.is_cold(now) && self.overloads(pool, worker, id) {
+            return Admission::ProcessFailed;
         }
-        let attempt = works.next;
-        works.next += 1;
-        let job = Job { attempt, slots: facts.slots, work: facts.work, key: facts.key, worth: facts.worth };
-        let machine = &mut works.machines[worker];
-        machine.worker.advance(now);
-        let hands_back = machine.draining && self.0.s.on("worker.hands-back");
-        if hands_back || !machine.worker.take(job) {
+        let attempt = pool.next_attempt;
+        pool.next_attempt += 1;
+        let job = Job { attempt, slots: body.slots, work: body.work, key: body.key, worth: body.worth };
+        let process = &mut pool.processes[worker];
+        process.worker.advance(now);
+        let hands_back = process.draining && self.0.scenario.on("worker.hands-back");
+        if hands_back || !process.worker.take(job) {
             self.0.event_log.record(Event::TurnedAway { id, worker });
-            return Taken::Away;
+            return Admission::Rejected;
         }
-        let (say, said) = mpsc::channel(4);
-        works.attempts.insert(attempt, Attempt { id, worker, say });
-        self.begin(works, worker);
-        Taken::Held(attempt, said)
+        let (chunks, receiver) = mpsc::channel(4);
+        pool.attempts.insert(attempt, Attempt { id, worker, chunks });
+        self.start_jobs(pool, worker);
+        Admission::Accepted(attempt, receiver)
     }
 
-    /// Counts a job that reaches a cold log worker; true where it falls over.
-    fn falls(&self, works: &mut Works, worker: usize, id: u64) -> bool {
+    /// Counts a job that reaches a log worker in slow start. Returns whether it overloads the process, which then ends.
+    fn overloads(&self, pool: &mut PoolState, worker: usize, id: u64) -> bool {
         let now = self.now();
-        let machine = &works.machines[worker];
-        let told =
-            self.0.discovery_server.notified_start(JobId(id).dispatcher(), worker) == machine.worker.started;
-        let capacity = machine.worker.nominal(now);
-        if !works.checker.loads(now, worker, self.0.mean_work, told, capacity) {
+        let process = &pool.processes[worker];
+        let notified =
+            self.0.discovery_server.notified_start(JobId(id).dispatcher(), worker) == process.worker.started;
+        let capacity = process.worker.nominal(now);
+        if !pool.checker.loads(now, worker, self.0.mean_work, notified, capacity) {
             return false;
         }
-        let blamed = works.checker.broken(Rule::GentleStart);
-        let told = blamed > works.falls_blamed;
-        works.falls_blamed = blamed;
-        self.0.event_log.record(Event::Overloaded { worker, notified: told });
-        // It stays down.
-        self.end(works, worker, false);
-        self.0.discovery_server.update_after(self.0.s.span("discovery.notices"), worker, ListedState::Gone);
+        let blamed = pool.checker.broken(Rule::GentleStart);
+        let notified = blamed > pool.blamed_overloads;
+        pool.blamed_overloads = blamed;
+        self.0.event_log.record(Event::Overloaded { worker, notified });
+        // Nothing restarts it, unless an incident does so later.
+        self.end_process(pool, worker, false);
+        self.0.discovery_server.update_after(
+            self.0.scenario.span("discovery.notices"),
+            worker,
+            ListedState::Gone,
+        );
         true
     }
 
-    fn call_off(&self, attempt: usize) {
-        let mut works = self.works();
-        let works = &mut *works;
-        let Some(Attempt { worker, .. }) = works.attempts.get(&attempt) else { return };
+    fn cancel_attempt(&self, attempt: usize) {
+        let mut pool = self.lock();
+        let pool = &mut *pool;
+        let Some(Attempt { worker, .. }) = pool.attempts.get(&attempt) else { return };
         let (worker, now) = (*worker, self.now());
-        works.machines[worker].worker.advance(now);
-        let running = self.0.s.on("worker.cancels-running");
-        if works.machines[worker].worker.drop_job(attempt, running) {
-            works.attempts.remove(&attempt);
-            works.store.advance(now);
-            works.store.forget(worker, Some(attempt));
-            self.replan_store(works);
-            self.begin(works, worker);
+        pool.processes[worker].worker.advance(now);
+        let running = self.0.scenario.on("worker.cancels-running");
+        if pool.processes[worker].worker.drop_job(attempt, running) {
+            pool.attempts.remove(&attempt);
+            pool.store.advance(now);
+            pool.store.forget(worker, Some(attempt));
+            self.schedule_store(pool);
+            self.start_jobs(pool, worker);
         }
     }
 
-    /// The process ends at once; what it held is lost.
-    fn end(&self, works: &mut Works, worker: usize, silent: bool) {
+    /// Ends a process at once; the jobs that it held are lost.
+    fn end_process(&self, pool: &mut PoolState, worker: usize, silent: bool) {
         let now = self.now();
-        let machine = &mut works.machines[worker];
-        machine.worker.advance(now);
-        let lost = machine.worker.die();
-        machine.draining = false;
-        machine.connections = 0;
-        machine.epoch += 1;
-        machine.reports.clear();
-        machine.state.send_replace(if silent { State::Silent } else { State::Down });
-        works.store.advance(now);
-        works.store.forget(worker, None);
+        let process = &mut pool.processes[worker];
+        process.worker.advance(now);
+        let lost = process.worker.die();
+        process.draining = false;
+        process.connections = 0;
+        process.epoch += 1;
+        process.reports.clear();
+        process.state.send_replace(if silent { ProcessState::Silent } else { ProcessState::Stopped });
+        pool.store.advance(now);
+        pool.store.forget(worker, None);
         for job in lost {
-            // Its answer is neither ended nor gone on with: its connection says what became of it.
-            works.buried.extend(works.attempts.remove(&job.attempt));
+            // The response body is neither completed nor continued: the end of the connection tells the dispatcher.
+            pool.orphaned_attempts.extend(pool.attempts.remove(&job.attempt));
         }
-        self.replan_store(works);
-        self.replan(works, worker);
+        self.schedule_store(pool);
+        self.schedule_worker(pool, worker);
     }
 
-    fn report(&self, works: &mut Works, worker: usize) {
+    fn create_report(&self, pool: &mut PoolState, worker: usize) {
         let now = self.now();
-        let (every, noise) = (self.0.s.span("report.every"), self.0.s.get("report.noise"));
-        let late = self.0.s.span("report.late") + works.late_reports;
-        let machine = &mut works.machines[worker];
-        if machine.is_up() && !machine.worker.paused {
-            machine.worker.advance(now);
-            let mut off = || 1.0 + noise * (2.0 * machine.rng.random::<f64>() - 1.0);
-            let free = (machine.worker.free() * off()).max(0.0);
-            let util = (machine.worker.util() * off()).clamp(0.0, 1.0);
+        let (every, noise) = (self.0.scenario.span("report.every"), self.0.scenario.get("report.noise"));
+        let late = self.0.scenario.span("report.late") + pool.extra_report_delay;
+        let process = &mut pool.processes[worker];
+        if process.is_up() && !process.worker.paused {
+            process.worker.advance(now);
+            let mut noise_factor = || 1.0 + noise * (2.0 * process.rng.random::<f64>() - 1.0);
+            let free = (process.worker.free() * noise_factor()).max(0.0);
+            let util = (process.worker.util() * noise_factor()).clamp(0.0, 1.0);
             let report = json!({"x0": free, "util": util}).to_string();
-            machine.reports.push_back((now + late, report));
+            process.reports.push_back((now + late, report));
         }
-        works.due.push(Reverse((now + every, Due::Report(worker))));
+        pool.timers.push(Reverse((now + every, Timer::Report(worker))));
     }
 
     fn stats(&self, worker: usize) -> String {
-        let mut works = self.works();
+        let mut pool = self.lock();
         let now = self.now();
-        works.probes += 1;
-        let machine = &mut works.machines[worker];
-        machine.worker.advance(now);
-        machine.worker.burden(self.0.s.get("probe.work") / 1000.0);
-        while machine.reports.len() > 1 && machine.reports[1].0 <= now {
-            machine.reports.pop_front();
+        pool.probes += 1;
+        let process = &mut pool.processes[worker];
+        process.worker.advance(now);
+        process.worker.burden(self.0.scenario.get("probe.work") / 1000.0);
+        while process.reports.len() > 1 && process.reports[1].0 <= now {
+            process.reports.pop_front();
         }
-        let report = machine.reports.front().filter(|(at, _)| *at <= now).map(|(_, report)| report.clone());
-        self.replan(&mut works, worker);
+        let report = process.reports.front().filter(|(at, _)| *at <= now).map(|(_, report)| report.clone());
+        self.schedule_worker(&mut pool, worker);
         report.unwrap_or_else(|| "{}".into())
     }
 
-    // What befalls them.
+    // Incidents.
 
-    /// The process of each of these ends; connections are reset, or fall silent with the machine.
+    /// Ends the process of each of these log workers, and notifies discovery after a delay. Connections are reset or, if
+    /// `silent`, stay open without an answer, as when the whole machine fails.
     pub fn crash(&self, workers: &[usize], silent: bool) {
-        let notices = if silent { "discovery.notices-silence" } else { "discovery.notices" };
+        let delay = if silent { "discovery.notices-silence" } else { "discovery.notices" };
         for worker in workers.iter().filter(|worker| self.stop(**worker, silent)) {
-            self.0.discovery_server.update_after(self.0.s.span(notices), *worker, ListedState::Gone);
+            self.0.discovery_server.update_after(self.0.scenario.span(delay), *worker, ListedState::Gone);
         }
     }
 
-    /// A process ends, and discovery is not told. False where it ran no more.
+    /// Ends a log worker's process without notifying discovery. Returns whether the process was running.
     pub fn stop(&self, worker: usize, silent: bool) -> bool {
-        let mut works = self.works();
-        let runs = works.machines[worker].is_up();
-        if runs {
-            self.tell(worker, if silent { "falls silent" } else { "ends" });
-            self.end(&mut works, worker, silent);
+        let mut pool = self.lock();
+        let was_running = pool.processes[worker].is_up();
+        if was_running {
+            self.log_state(worker, if silent { "stops answering" } else { "exits" });
+            self.end_process(&mut pool, worker, silent);
         }
-        runs
+        was_running
     }
 
-    /// A new process of each of these, which is cold.
+    /// Starts a new process, in slow start, for each of these log workers that has none.
     pub fn restart(&self, workers: &[usize]) {
         let now = self.now();
         for worker in workers {
-            let mut works = self.works();
-            let works = &mut *works;
-            if works.machines[*worker].is_up() {
+            let mut pool = self.lock();
+            let pool = &mut *pool;
+            if pool.processes[*worker].is_up() {
                 continue;
             }
-            self.tell(*worker, "starts");
-            let machine = &mut works.machines[*worker];
-            machine.worker.advance(now);
-            machine.worker.started = Some(now);
-            machine.epoch += 1;
-            let epoch = machine.epoch;
-            machine.state.send_replace(State::Up(epoch));
-            works.checker.restarts(*worker);
-            works.buried.retain(|attempt| attempt.worker != *worker);
+            self.log_state(*worker, "starts");
+            let process = &mut pool.processes[*worker];
+            process.worker.advance(now);
+            process.worker.started = Some(now);
+            process.epoch += 1;
+            let epoch = process.epoch;
+            process.state.send_replace(ProcessState::Running(epoch));
+            pool.checker.restarts(*worker);
+            pool.orphaned_attempts.retain(|attempt| attempt.worker != *worker);
             self.0.discovery_server.update_after(
-                self.0.s.span("discovery.notices"),
+                self.0.scenario.span("discovery.notices"),
                 *worker,
                 ListedState::Active(Some(now)),
             );
         }
     }
 
-    /// It wants nothing new, and hands back what has not started.
+    /// Makes a log worker drain: it rejects new jobs and hands back those that have not started, if the scenario has it
+    /// do so, and discovery is notified after a delay.
     pub fn drain(&self, worker: usize) {
-        let mut works = self.works();
-        let works = &mut *works;
-        if !works.machines[worker].is_up() {
+        let mut pool = self.lock();
+        let pool = &mut *pool;
+        if !pool.processes[worker].is_up() {
             return;
         }
-        self.tell(worker, "drains");
+        self.log_state(worker, "drains");
         let now = self.now();
-        works.machines[worker].draining = true;
+        pool.processes[worker].draining = true;
         self.0.discovery_server.update_after(
-            self.0.s.span("discovery.notices"),
+            self.0.scenario.span("discovery.notices"),
             worker,
             ListedState::Draining,
         );
-        if self.0.s.on("worker.hands-back") {
-            works.machines[worker].worker.advance(now);
-            for job in works.machines[worker].worker.hand_back() {
-                if let Some(attempt) = works.attempts.remove(&job.attempt) {
+        if self.0.scenario.on("worker.hands-back") {
+            pool.processes[worker].worker.advance(now);
+            for job in pool.processes[worker].worker.hand_back() {
+                if let Some(attempt) = pool.attempts.remove(&job.attempt) {
                     self.0.event_log.record(Event::TurnedAway { id: attempt.id, worker });
-                    self.say(&attempt, "returned", false);
+                    self.send_state(&attempt, "returned", false);
                 }
             }
         }
     }
 
-    /// Changes how fast these go.
+    /// Applies a change to the models of these log workers.
     pub fn update_workers(&self, workers: &[usize], change: impl Fn(&mut Worker)) {
         for worker in workers {
-            let mut works = self.works();
+            let mut pool = self.lock();
             let now = self.now();
-            works.machines[*worker].worker.advance(now);
-            change(&mut works.machines[*worker].worker);
-            self.begin(&mut works, *worker);
+            pool.processes[*worker].worker.advance(now);
+            change(&mut pool.processes[*worker].worker);
+            self.start_jobs(&mut pool, *worker);
         }
     }
 
-    /// Reports come this much later than usual; a negative span takes that back.
+    /// Delays load reports by this much more; a negative span reverts an earlier delay.
     pub fn delay_reports(&self, by: Span) {
-        let mut works = self.works();
-        works.late_reports = works.late_reports + by;
+        let mut pool = self.lock();
+        pool.extra_report_delay = pool.extra_report_delay + by;
     }
 
-    /// Resets each connection with a job on it, with this chance. The job runs on.
+    /// Resets the connection of each job with this probability. The jobs continue to run.
     pub fn reset_connections(&self, chance: f64, rng: &mut SmallRng) {
-        let works = self.works();
-        let mut all: Vec<usize> = works.attempts.keys().copied().collect();
+        let pool = self.lock();
+        let mut all: Vec<usize> = pool.attempts.keys().copied().collect();
         all.sort_unstable();
         for attempt in all.into_iter().filter(|_| rng.random::<f64>() < chance) {
-            let _ = works.attempts[&attempt].say.try_send(Err(ConnectionReset));
+            let _ = pool.attempts[&attempt].chunks.try_send(Err(ConnectionReset));
         }
     }
 
-    fn tell(&self, worker: usize, what: &str) {
-        self.0.event_log.record(Event::Script { text: format!("{} {what}", worker_name(worker)) });
+    fn log_state(&self, worker: usize, change: &str) {
+        self.0.event_log.record(Event::Script { text: format!("{} {change}", worker_name(worker)) });
     }
 
-    /// Seconds of a core that each spent on jobs.
+    /// Processor time that each log worker spent on jobs, in seconds of one core.
     pub fn busy_seconds(&self) -> Vec<f64> {
-        self.works().machines.iter().map(|machine| machine.worker.worked).collect()
+        self.lock().processes.iter().map(|process| process.worker.worked).collect()
     }
 
-    /// Connections that were opened to them.
+    /// Number of connections that were opened to the log workers.
     pub fn connections_opened(&self) -> u64 {
-        self.works().openings
+        self.lock().connections_opened
     }
 
-    /// Probes that they answered.
+    /// Number of probes that the log workers answered.
     pub fn probes(&self) -> u64 {
-        self.works().probes
+        self.lock().probes
     }
 
-    /// Archives that they fetched.
+    /// Number of archives that the log workers fetched from the store.
     pub fn fetches(&self) -> u64 {
-        self.works().store.begun
+        self.lock().store.begun
     }
 
-    /// Log workers that take work at present.
+    /// Number of log workers that accept jobs at present.
     pub fn available_workers(&self) -> usize {
-        self.works().machines.iter().filter(|m| m.is_up() && !m.draining && !m.worker.paused).count()
+        self.lock().processes.iter().filter(|m| m.is_up() && !m.draining && !m.worker.paused).count()
     }
 
     // Sockets.
 
     async fn listen(self, worker: usize, listener: TcpListener) {
-        let mut state = self.works().machines[worker].state.subscribe();
+        let mut process_state = self.lock().processes[worker].state.subscribe();
         let mut listener = Some(listener);
         loop {
-            let now = *state.borrow_and_update();
+            let now = *process_state.borrow_and_update();
             match now {
-                State::Up(epoch) => {
+                ProcessState::Running(epoch) => {
                     let open = match listener.take() {
                         Some(open) => open,
                         None => match TcpListener::bind(self.0.addresses[worker]).await {
@@ -578,23 +595,23 @@
                     };
                     tokio::select! {
                         accepted = open.accept() => match accepted {
-                            Ok((stream, _)) => self.connects(worker, epoch, stream, state.clone()),
-                            // Out of descriptors, most likely: those that are open will end.
+                            Ok((stream, _)) => self.serve_connection(worker, epoch, stream, process_state.clone()),
+                            // Most likely the rig is out of descriptors; open connections will release some.
                             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
                         },
-                        changed = state.changed() => if changed.is_err() { return },
+                        changed = process_state.changed() => if changed.is_err() { return },
                     }
                     listener = Some(open);
                 }
-                // The system takes connections for it, and nobody answers.
-                State::Silent => {
-                    drop(state.changed().await);
-                    // Its machine starts anew: connections that nobody has accepted go with the old one.
+                // The listener stays open: the system accepts connections and nobody answers them.
+                ProcessState::Silent => {
+                    drop(process_state.changed().await);
+                    // The machine has started again: connections that were not accepted end with the old listener.
                     listener = None;
                 }
-                State::Down => {
+                ProcessState::Stopped => {
                     listener = None;
-                    if state.changed().await.is_err() {
+                    if process_state.changed().await.is_err() {
                         return;
                     }
                 }
@@ -602,100 +619,109 @@
         }
     }
 
-    fn connects(&self, worker: usize, epoch: u64, stream: TcpStream, mut state: watch::Receiver<State>) {
+    fn serve_connection(
+        &self,
+        worker: usize,
+        epoch: u64,
+        stream: TcpStream,
+        mut process_state: watch::Receiver<ProcessState>,
+    ) {
         let _ = stream.set_nodelay(true);
-        // Whenever the log worker closes first, it is a reset: a process that dies says nothing more.
+        // If the log worker closes first, the connection is reset, as when a process dies with data unsent.
         let _ = stream.set_zero_linger();
         {
-            let mut works = self.works();
+            let mut pool = self.lock();
             let now = self.now();
-            let machine = &mut works.machines[worker];
-            if machine.epoch != epoch || machine.connections >= self.0.s.count("connection.most") {
+            let process = &mut pool.processes[worker];
+            if process.epoch != epoch || process.connections >= self.0.scenario.count("connection.most") {
                 return;
             }
-            machine.connections += 1;
-            machine.worker.advance(now);
-            machine.worker.burden(self.0.s.get("connection.opening") / 1000.0);
-            works.openings += 1;
-            self.replan(&mut works, worker);
+            process.connections += 1;
+            process.worker.advance(now);
+            process.worker.burden(self.0.scenario.get("connection.opening") / 1000.0);
+            pool.connections_opened += 1;
+            self.schedule_worker(&mut pool, worker);
         }
         let worker_pool = self.clone();
         tokio::spawn(async move {
             let service = service_fn(|request| {
                 let worker_pool = worker_pool.clone();
-                async move { Ok::<_, Infallible>(worker_pool.answer(worker, request).await) }
+                async move { Ok::<_, Infallible>(worker_pool.handle_request(worker, request).await) }
             });
-            let idle = Duration::from_micros(worker_pool.0.s.span("connection.idle").0.max(1) as u64);
+            let idle = Duration::from_micros(worker_pool.0.scenario.span("connection.idle").0.max(1) as u64);
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(idle);
             {
                 let connection = builder.serve_connection(TokioIo::new(stream), service);
                 tokio::pin!(connection);
                 let ends = async {
-                    let _ = state.wait_for(|state| *state != State::Up(epoch)).await;
+                    let _ = process_state
+                        .wait_for(|process_state| *process_state != ProcessState::Running(epoch))
+                        .await;
                 };
                 let process_ends = tokio::select! {
                     _ = &mut connection => false,
                     () = ends => true,
                 };
                 if process_ends {
-                    // Silent with its machine: open, and nothing more is said until that is back.
-                    let _ = state.wait_for(|state| *state != State::Silent).await;
+                    // The connection of a silent machine stays open without data until the machine is back.
+                    let _ =
+                        process_state.wait_for(|process_state| *process_state != ProcessState::Silent).await;
                 }
             }
-            let mut works = worker_pool.works();
-            let machine = &mut works.machines[worker];
-            if machine.epoch == epoch {
-                machine.connections = machine.connections.saturating_sub(1);
+            let mut pool = worker_pool.lock();
+            let process = &mut pool.processes[worker];
+            if process.epoch == epoch {
+                process.connections = process.connections.saturating_sub(1);
             }
         });
     }
 
-    async fn answer(&self, worker: usize, request: Request<Incoming>) -> Response<StreamBody> {
+    async fn handle_request(&self, worker: usize, request: Request<Incoming>) -> Response<StreamBody> {
         let id = request.headers().get("x-correlation-id").and_then(|id| JobId::read(id.to_str().ok()?));
         match (request.method(), request.uri().path(), id) {
             (&Method::GET, "/stats", _) => {
-                self.not_paused(worker).await;
+                self.wait_while_paused(worker).await;
                 plain_response(StatusCode::OK, self.stats(worker))
             }
             (&Method::GET, "/health/live", _) => plain_response(StatusCode::OK, ""),
-            (&Method::POST, _, Some(id)) => self.job(worker, id.0, request).await,
+            (&Method::POST, _, Some(id)) => self.handle_job(worker, id.0, request).await,
             _ => plain_response(StatusCode::BAD_REQUEST, ""),
         }
     }
 
-    async fn not_paused(&self, worker: usize) {
-        while self.works().machines[worker].worker.paused {
+    async fn wait_while_paused(&self, worker: usize) {
+        while self.lock().processes[worker].worker.paused {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    async fn job(&self, worker: usize, id: u64, request: Request<Incoming>) -> Response<StreamBody> {
+    async fn handle_job(&self, worker: usize, id: u64, request: Request<Incoming>) -> Response<StreamBody> {
         let left_ms =
             request.headers().get("x-time-left-ms").and_then(|left| left.to_str().ok()?.parse().ok());
         let Ok(body) = Limited::new(request.into_body(), MAX_BODY).collect().await else {
             return plain_response(StatusCode::BAD_REQUEST, "");
         };
-        let Ok(facts) = serde_json::from_slice::<JobBody>(&body.to_bytes()) else {
+        let Ok(body) = serde_json::from_slice::<JobBody>(&body.to_bytes()) else {
             return plain_response(StatusCode::BAD_REQUEST, "");
         };
-        match self.take(worker, id, left_ms, facts) {
-            Taken::Away => {
+        match self.admit(worker, id, left_ms, body) {
+            Admission::Rejected => {
                 let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
                 response.headers_mut().insert("x-unprocessed", http::HeaderValue::from_static("1"));
                 response
             }
-            // Its connection ends with the process.
-            Taken::Broke => std::future::pending().await,
-            Taken::Held(attempt, said) => {
+            // The connection ends with the process.
+            Admission::ProcessFailed => std::future::pending().await,
+            Admission::Accepted(attempt, receiver) => {
                 let worker_pool = self.clone();
-                Response::new(StreamBody::new(said, move || worker_pool.call_off(attempt)))
+                Response::new(StreamBody::new(receiver, move || worker_pool.cancel_attempt(attempt)))
             }
         }
     }
 }
 
-/// A log worker's name.
+/// The name of a log worker in discovery and in load reports.
 pub fn worker_name(worker: usize) -> String {
     format!("w-{worker:06}")
 }
