--- a/crates/rig/src/discovery.rs
+++ b/crates/rig/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery on sockets, by the published calls and watches: it tells late, refuses, falls silent, or tells old lists.
+//! The stand-in for discovery: serves the published calls and watches on real sockets. It can be late, refuse calls, stop
+//! answering, or serve stale lists.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -25,101 +26,104 @@
 use crate::response::{plain_response, BodyChunk, ConnectionReset, StreamBody};
 use crate::worker_pool::worker_name;
 
-/// As long as nothing changes, a watch says so this often.
-const EMPTY_EVERY: Duration = Duration::from_secs(2);
-/// What a silent watch has missed counts as told so long after it fell silent, by the operators' standing test.
-const SILENCE_COUNTS: Duration = Duration::from_secs(6);
-/// Changes of each log worker that a watch may be behind; one that is further behind ends, and its dispatcher asks anew.
-const BEHIND: usize = 4;
+/// Interval at which an empty line is sent on a watch while nothing changes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// A drain that a silent watch missed counts as notified this long after the watch fell silent, as in the operators'
+/// acceptance test.
+const SILENCE_GRACE: Duration = Duration::from_secs(6);
+/// Number of changes for each log worker that a watch may lag behind. A watch that lags further is reset, and its
+/// dispatcher opens a new one.
+const BACKLOG_PER_WORKER: usize = 4;
 
-/// What discovery sees of a log worker.
+/// The state of a log worker as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes work, and started then; none is long ago.
+    /// It accepts work. It started at this time, or before the run if there is none.
     Active(Option<Time>),
-    /// It wants nothing new.
+    /// It accepts no new work.
     Draining,
-    /// It is gone.
+    /// It has left, and full lists omit it.
     Gone,
 }
 
-/// How discovery is.
+/// Behaviour of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// As it should be.
+    /// Calls and watches work.
     Normal,
-    /// Calls are answered 503, and watches have ended.
+    /// Calls are answered 503, and watches are reset.
     Refusing,
-    /// Calls are taken and nothing is answered; watches stay open and say nothing.
+    /// Calls are accepted and not answered; watches stay open and send nothing.
     Silent,
-    /// It goes on telling the list as it was when this began.
+    /// Calls and watches serve the list as it was when this mode began.
     Stale,
 }
 
 struct State {
-    view: Vec<ListedState>,
-    /// Starts of processes, kept through a drain.
+    listed: Vec<ListedState>,
+    /// Start of each log worker's process, kept through a drain.
     started: Vec<Option<Time>>,
     rev: u64,
-    /// The list that is told while it is old.
-    old: Option<(u64, Vec<ListedState>)>,
-    /// When the next call can be served.
-    free: Time,
-    /// What was last written to each dispatcher.
-    told: HashMap<(usize, usize), ListedState>,
+    /// Revision and list that are served in stale mode.
+    stale_list: Option<(u64, Vec<ListedState>)>,
+    /// Earliest time at which the next call is served.
+    next_call_at: Time,
+    /// The state last sent, by dispatcher and log worker.
+    sent: HashMap<(usize, usize), ListedState>,
+    /// The start of a log worker's process last sent, by dispatcher and log worker.
     notified_start: HashMap<(usize, usize), Time>,
-    /// Processes that each dispatcher has had.
-    lives: HashMap<usize, u64>,
+    /// Number of restarts of each dispatcher.
+    process_counts: HashMap<usize, u64>,
 }
 
 struct Inner {
-    s: Scenario,
+    scenario: Scenario,
     seed: u64,
     event_log: EventLog,
     state: Mutex<State>,
     mode: watch::Sender<DiscoveryMode>,
     changes: broadcast::Sender<(u64, usize, ListedState)>,
-    /// Where each group of dispatchers reaches each log worker.
-    ways: Vec<Vec<SocketAddr>>,
+    /// For each group of dispatchers, the addresses at which it reaches the log workers.
+    routes: Vec<Vec<SocketAddr>>,
     /// The group of each dispatcher.
     groups: Vec<usize>,
 }
 
-/// Discovery. Clones are the same.
+/// The discovery server. Clones share the same state.
 #[derive(Clone)]
 pub struct DiscoveryServer(Arc<Inner>);
 
 impl DiscoveryServer {
-    /// Discovery of a scenario's log workers; `ways` holds, for each group of dispatchers, where it reaches each of
-    /// them, and `groups` the group of each dispatcher.
+    /// Creates the discovery of a scenario's log workers. `routes` holds, for each group of dispatchers, the addresses at
+    /// which it reaches them; `groups` holds the group of each dispatcher.
     pub fn new(
-        s: &Scenario,
+        scenario: &Scenario,
         seed: u64,
         event_log: EventLog,
-        ways: Vec<Vec<SocketAddr>>,
+        routes: Vec<Vec<SocketAddr>>,
         groups: Vec<usize>,
     ) -> Self {
-        let workers = s.count("workers");
+        let workers = scenario.count("workers");
         let state = State {
-            view: vec![ListedState::Active(None); workers],
+            listed: vec![ListedState::Active(None); workers],
             started: vec![None; workers],
             rev: 1,
-            old: None,
-            free: Time(0),
-            told: HashMap::new(),
+            stale_list: None,
+            next_call_at: Time(0),
+            sent: HashMap::new(),
             notified_start: HashMap::new(),
-            lives: HashMap::new(),
+            process_counts: HashMap::new(),
         };
         let mode = watch::Sender::new(DiscoveryMode::Normal);
-        let changes = broadcast::Sender::new(BEHIND * workers.max(256));
+        let changes = broadcast::Sender::new(BACKLOG_PER_WORKER * workers.max(256));
         DiscoveryServer(Arc::new(Inner {
-            s: s.clone(),
+            scenario: scenario.clone(),
             seed,
             event_log,
             state: Mutex::new(state),
             mode,
             changes,
-            ways,
+            routes,
             groups,
         }))
     }
@@ -128,7 +132,7 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Serves a dispatcher, which asks at a listener of its own.
+    /// Serves a dispatcher on a listener of its own.
     pub fn serve(&self, dispatcher: usize, listener: TcpListener) {
         let discovery_server = self.clone();
         tokio::spawn(async move {
@@ -142,7 +146,9 @@
                 tokio::spawn(async move {
                     let service = service_fn(move |request| {
                         let discovery_server = discovery_server.clone();
-                        async move { Ok::<_, Infallible>(discovery_server.answer(dispatcher, request).await) }
+                        async move {
+                            Ok::<_, Infallible>(discovery_server.handle_request(dispatcher, request).await)
+                        }
                     });
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
@@ -150,143 +156,155 @@
         });
     }
 
-    /// Discovery sees this of a log worker in a while, and tells it then.
-    pub fn update_after(&self, after: Span, worker: usize, view: ListedState) {
+    /// Lists a log worker in this state after a delay.
+    pub fn update_after(&self, delay: Span, worker: usize, listed: ListedState) {
         let discovery_server = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(duration(after)).await;
-            discovery_server.update(worker, view);
+            tokio::time::sleep(duration(delay)).await;
+            discovery_server.update(worker, listed);
         });
     }
 
-    /// Discovery sees this of a log worker.
-    pub fn update(&self, worker: usize, view: ListedState) {
+    /// Lists a log worker in this state, and sends the change to watches.
+    pub fn update(&self, worker: usize, listed: ListedState) {
         let mut state = self.state();
-        state.view[worker] = view;
-        if let ListedState::Active(started) = view {
+        state.listed[worker] = listed;
+        if let ListedState::Active(started) = listed {
             state.started[worker] = started;
         }
         state.rev += 1;
-        let _ = self.0.changes.send((state.rev, worker, view));
+        let _ = self.0.changes.send((state.rev, worker, listed));
     }
 
-    /// Changes how discovery is.
+    /// Changes the behaviour of discovery.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = self.state();
-        state.old = (mode == DiscoveryMode::Stale).then(|| (state.rev, state.view.clone()));
+        state.stale_list = (mode == DiscoveryMode::Stale).then(|| (state.rev, state.listed.clone()));
         self.0.mode.send_replace(mode);
     }
 
-    /// A dispatcher's process is new, and was told nothing yet.
+    /// Notes that a dispatcher's process is new, so that nothing has been sent to it yet.
     pub fn forget_dispatcher(&self, dispatcher: usize) {
         let mut state = self.state();
-        *state.lives.entry(dispatcher).or_default() += 1;
-        state.told.retain(|(of, _), _| *of != dispatcher);
+        *state.process_counts.entry(dispatcher).or_default() += 1;
+        state.sent.retain(|(of, _), _| *of != dispatcher);
         state.notified_start.retain(|(of, _), _| *of != dispatcher);
     }
 
-    /// The start of a log worker's process, as this dispatcher was last told.
+    /// The start of a log worker's process that was last sent to this dispatcher.
     pub fn notified_start(&self, dispatcher: usize, worker: usize) -> Option<Time> {
         self.state().notified_start.get(&(dispatcher, worker)).copied()
     }
 
-    /// The whole list as it is, for a dispatcher that remembers it from before its start.
+    /// The present list, for the configuration of a dispatcher that starts with a known list.
     pub fn snapshot(&self, dispatcher: usize) -> Value {
         let state = self.state();
-        self.whole(&state, dispatcher, state.rev, &state.view)
+        self.full_list(&state, dispatcher, state.rev, &state.listed)
     }
 
-    fn whole(&self, state: &State, dispatcher: usize, rev: u64, view: &[ListedState]) -> Value {
-        let here = view.iter().enumerate().filter(|(_, view)| **view != ListedState::Gone);
-        let targets: Vec<Value> = here.map(|(w, view)| self.entry(state, dispatcher, w, *view)).collect();
+    fn full_list(&self, state: &State, dispatcher: usize, rev: u64, listed: &[ListedState]) -> Value {
+        let present = listed.iter().enumerate().filter(|(_, listed)| **listed != ListedState::Gone);
+        let targets: Vec<Value> =
+            present.map(|(w, listed)| self.target(state, dispatcher, w, *listed)).collect();
         json!({"rev": rev, "all": true, "targets": targets})
     }
 
-    fn entry(&self, state: &State, dispatcher: usize, worker: usize, view: ListedState) -> Value {
-        let zones = self.0.s.count("zones");
-        let started = match view {
+    fn target(&self, state: &State, dispatcher: usize, worker: usize, listed: ListedState) -> Value {
+        let zones = self.0.scenario.count("zones");
+        let started = match listed {
             ListedState::Active(started) => started,
             ListedState::Draining | ListedState::Gone => state.started[worker],
         };
         let boot_ms = started.map_or(0, |at| self.0.event_log.clock().unix_ms(at));
+        let state_name = match listed {
+            ListedState::Active(_) => "active",
+            ListedState::Draining => "leaving",
+            ListedState::Gone => "left",
+        };
         json!({
-            "uid": worker_name(worker), "endpoint": self.0.ways[self.0.groups[dispatcher]][worker],
+            "uid": worker_name(worker), "endpoint": self.0.routes[self.0.groups[dispatcher]][worker],
             "az": format!("z{}", worker % zones), "model": "std", "pod_group": worker / 8,
-            "state": match view { ListedState::Active(_) => "active", ListedState::Draining => "leaving", ListedState::Gone => "left" },
+            "state": state_name,
             "capacity_hint": 1.0, "boot_ms": boot_ms,
         })
     }
 
-    /// What is written to a dispatcher here.
-    fn writes(&self, state: &mut State, dispatcher: usize, worker: usize, view: ListedState) {
-        let before = state.told.insert((dispatcher, worker), view).unwrap_or(ListedState::Active(None));
-        if let ListedState::Active(Some(started)) = view {
+    /// Notes that a state is written to a dispatcher, and records an event if it changes whether the log worker accepts
+    /// work.
+    fn note_written(&self, state: &mut State, dispatcher: usize, worker: usize, listed: ListedState) {
+        let before = state.sent.insert((dispatcher, worker), listed).unwrap_or(ListedState::Active(None));
+        if let ListedState::Active(Some(started)) = listed {
             state.notified_start.insert((dispatcher, worker), started);
         }
-        let takes = |view| matches!(view, ListedState::Active(_));
-        if takes(before) != takes(view) {
-            self.0.event_log.record(Event::Notified { dispatcher, worker, accepts_work: takes(view) });
+        let accepts_work = |listed| matches!(listed, ListedState::Active(_));
+        if accepts_work(before) != accepts_work(listed) {
+            self.0.event_log.record(Event::Notified {
+                dispatcher,
+                worker,
+                accepts_work: accepts_work(listed),
+            });
         }
     }
 
-    /// The whole list, written to a dispatcher now.
-    fn write_whole(&self, dispatcher: usize) -> (u64, String) {
+    /// The revision and text of the full list, noted as written to a dispatcher.
+    fn write_full_list(&self, dispatcher: usize) -> (u64, String) {
         let mut state = self.state();
-        let (rev, view) = state.old.clone().unwrap_or_else(|| (state.rev, state.view.clone()));
-        for (worker, view) in view.iter().enumerate() {
-            self.writes(&mut state, dispatcher, worker, *view);
+        let (rev, listed) = state.stale_list.clone().unwrap_or_else(|| (state.rev, state.listed.clone()));
+        for (worker, listed) in listed.iter().enumerate() {
+            self.note_written(&mut state, dispatcher, worker, *listed);
         }
-        (rev, format!("{}\n", self.whole(&state, dispatcher, rev, &view)))
+        (rev, format!("{}\n", self.full_list(&state, dispatcher, rev, &listed)))
     }
 
-    fn write_change(&self, dispatcher: usize, rev: u64, worker: usize, view: ListedState) -> String {
+    fn write_change(&self, dispatcher: usize, rev: u64, worker: usize, listed: ListedState) -> String {
         let mut state = self.state();
-        self.writes(&mut state, dispatcher, worker, view);
-        let targets = [self.entry(&state, dispatcher, worker, view)];
+        self.note_written(&mut state, dispatcher, worker, listed);
+        let targets = [self.target(&state, dispatcher, worker, listed)];
         format!("{}\n", json!({"rev": rev, "all": false, "targets": targets}))
     }
 
-    async fn answer(&self, dispatcher: usize, request: Request<Incoming>) -> Response<StreamBody> {
+    async fn handle_request(&self, dispatcher: usize, request: Request<Incoming>) -> Response<StreamBody> {
         if request.uri().path() != "/registry/instances" {
             return plain_response(StatusCode::NOT_FOUND, "");
         }
-        let watches = request.uri().query().is_some_and(|query| query.contains("watch=1"));
-        if !self.its_turn().await {
+        let is_watch = request.uri().query().is_some_and(|query| query.contains("watch=1"));
+        if !self.wait_for_turn().await {
             return plain_response(StatusCode::SERVICE_UNAVAILABLE, "");
         }
-        if !watches {
-            return plain_response(StatusCode::OK, self.write_whole(dispatcher).1);
+        if !is_watch {
+            return plain_response(StatusCode::OK, self.write_full_list(dispatcher).1);
         }
-        let (say, said) = mpsc::channel(16);
+        let (chunks, receiver) = mpsc::channel(16);
         let discovery_server = self.clone();
-        tokio::spawn(async move { discovery_server.follow(dispatcher, say).await });
-        Response::new(StreamBody::new(said, || {}))
+        tokio::spawn(async move { discovery_server.serve_watch(dispatcher, chunks).await });
+        Response::new(StreamBody::new(receiver, || {}))
     }
 
-    /// Calls wait in turn; one that would wait for too long fails.
-    async fn its_turn(&self) -> bool {
+    /// Waits for the call's turn, by the rate of calls that the scenario allows. Returns false where calls are refused, or
+    /// after the timeout where the wait would exceed it.
+    async fn wait_for_turn(&self) -> bool {
         let mut mode = self.0.mode.subscribe();
-        let timeout = self.0.s.span("discovery.timeout");
+        let timeout = self.0.scenario.span("discovery.timeout");
         if mode.wait_for(|mode| *mode != DiscoveryMode::Silent).await.is_err()
             || *mode.borrow() == DiscoveryMode::Refusing
         {
             return false;
         }
         let clock = self.0.event_log.clock();
-        let served = {
+        let serve_at = {
             let mut state = self.state();
-            let served =
-                state.free.max(clock.now()) + Span::from_ms(1000.0 / self.0.s.get("discovery.calls"));
-            if served - clock.now() > timeout {
+            let at = state.next_call_at.max(clock.now())
+                + Span::from_ms(1000.0 / self.0.scenario.get("discovery.calls"));
+            if at - clock.now() > timeout {
                 None
             } else {
-                state.free = served;
-                Some(served)
+                state.next_call_at = at;
+                Some(at)
             }
         };
-        match served {
-            Some(served) => {
-                clock.sleep_until(served).await;
+        match serve_at {
+            Some(at) => {
+                clock.sleep_until(at).await;
                 true
             }
             None => {
@@ -296,60 +314,60 @@
         }
     }
 
-    /// A watch is over that had been silent since then: the drains that it missed count as told when their time is up,
-    /// whatever else the dispatcher hears or does not hear.
-    fn missed(&self, dispatcher: usize, silent: tokio::time::Instant) {
-        let (life, missed) = {
+    /// Counts the drains that a silent watch missed as notified at the end of the grace period, whatever else the
+    /// dispatcher receives until then. They are void if the dispatcher's process is replaced.
+    fn mark_missed_drains(&self, dispatcher: usize, silent_since: tokio::time::Instant) {
+        let (process_count, missed) = {
             let state = self.state();
-            let life = state.lives.get(&dispatcher).copied();
-            let stops = |worker: &usize| !matches!(state.view[*worker], ListedState::Active(_));
-            (life, (0..state.view.len()).filter(stops).collect::<Vec<_>>())
+            let process_count = state.process_counts.get(&dispatcher).copied();
+            let not_active = |worker: &usize| !matches!(state.listed[*worker], ListedState::Active(_));
+            (process_count, (0..state.listed.len()).filter(not_active).collect::<Vec<_>>())
         };
         let discovery_server = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep_until(silent + SILENCE_COUNTS).await;
+            tokio::time::sleep_until(silent_since + SILENCE_GRACE).await;
             let mut state = discovery_server.state();
-            if state.lives.get(&dispatcher).copied() != life {
+            if state.process_counts.get(&dispatcher).copied() != process_count {
                 return;
             }
             for worker in missed {
-                let view = state.view[worker];
-                if !matches!(view, ListedState::Active(_)) {
-                    discovery_server.writes(&mut state, dispatcher, worker, view);
+                let listed = state.listed[worker];
+                if !matches!(listed, ListedState::Active(_)) {
+                    discovery_server.note_written(&mut state, dispatcher, worker, listed);
                 }
             }
         });
     }
 
-    /// Tells a watch what changes, until nobody listens or discovery goes down.
-    async fn follow(&self, dispatcher: usize, say: mpsc::Sender<BodyChunk>) {
+    /// Sends changes to a watch until its dispatcher closes it or discovery refuses calls.
+    async fn serve_watch(&self, dispatcher: usize, chunks: mpsc::Sender<BodyChunk>) {
         let mut changes = self.0.changes.subscribe();
         let mut mode = self.0.mode.subscribe();
         let mut rng = stream(self.0.seed, Stream::Discovery, dispatcher as u64);
-        let spread = self.0.s.span("discovery.spread").0.max(1);
-        // Subscribed before the list is read: a change is told twice rather than never.
-        let (mut held, mut line) = self.write_whole(dispatcher);
+        let spread = self.0.scenario.span("discovery.spread").0.max(1);
+        // Changes are subscribed to before the list is read, so that a change can come twice but is never missed.
+        let (mut last_rev, mut line) = self.write_full_list(dispatcher);
         loop {
-            if say.send(Ok(Bytes::from(line))).await.is_err() {
+            if chunks.send(Ok(Bytes::from(line))).await.is_err() {
                 return;
             }
             line = loop {
                 let now = *mode.borrow_and_update();
                 match now {
-                    DiscoveryMode::Refusing => return drop(say.send(Err(ConnectionReset)).await),
+                    DiscoveryMode::Refusing => return drop(chunks.send(Err(ConnectionReset)).await),
                     DiscoveryMode::Silent => {
-                        let silent = tokio::time::Instant::now();
+                        let silent_since = tokio::time::Instant::now();
                         tokio::select! {
                             _ = mode.changed() => {}
-                            // Whoever waits no longer is told nothing.
-                            () = say.closed() => return self.missed(dispatcher, silent),
-                            () = tokio::time::sleep(SILENCE_COUNTS) => self.missed(dispatcher, silent),
+                            // The dispatcher gave up waiting.
+                            () = chunks.closed() => return self.mark_missed_drains(dispatcher, silent_since),
+                            () = tokio::time::sleep(SILENCE_GRACE) => self.mark_missed_drains(dispatcher, silent_since),
                         }
-                        // What changed in the meantime comes with the whole list.
+                        // The full list brings the changes missed in the meantime.
                         if *mode.borrow() != DiscoveryMode::Silent {
-                            let (rev, whole) = self.write_whole(dispatcher);
-                            held = rev;
-                            break whole;
+                            let (rev, list) = self.write_full_list(dispatcher);
+                            last_rev = rev;
+                            break list;
                         }
                         continue;
                     }
@@ -361,26 +379,26 @@
                             return;
                         }
                         if now == DiscoveryMode::Stale && *mode.borrow() == DiscoveryMode::Normal {
-                            // What was kept from it.
-                            let (rev, whole) = self.write_whole(dispatcher);
-                            held = rev;
-                            break whole;
+                            // The full list brings the changes withheld in stale mode.
+                            let (rev, list) = self.write_full_list(dispatcher);
+                            last_rev = rev;
+                            break list;
                         }
                     }
                     change = changes.recv() => match change {
-                        Ok((rev, worker, view)) if rev > held && now == DiscoveryMode::Normal => {
-                            held = rev;
+                        Ok((rev, worker, listed)) if rev > last_rev && now == DiscoveryMode::Normal => {
+                            last_rev = rev;
                             let late = rng.random_range(0..=spread) as u64;
                             tokio::time::sleep(Duration::from_micros(late)).await;
                             if *mode.borrow() == DiscoveryMode::Normal {
-                                break self.write_change(dispatcher, rev, worker, view);
+                                break self.write_change(dispatcher, rev, worker, listed);
                             }
                         }
                         Ok(_) => {}
-                        Err(_) => return drop(say.send(Err(ConnectionReset)).await),
+                        Err(_) => return drop(chunks.send(Err(ConnectionReset)).await),
                     },
-                    () = tokio::time::sleep(EMPTY_EVERY) => break "\n".into(),
-                    () = say.closed() => return,
+                    () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => break "\n".into(),
+                    () = chunks.closed() => return,
                 }
             };
         }
