--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,5 +1,5 @@
-//! Clients: an open-loop load. Every job is sent when it was meant to be, whatever became of those before it, and its
-//! time counts from then.
+//! The clients of a run, an open-loop load generator: each job is sent at its drawn time whatever became of earlier ones,
+//! and its latency counts from that time.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -26,68 +26,71 @@
 use crate::job::JobId;
 use crate::worker_pool::JobBody;
 
-/// On sockets every time limit is this much longer.
+/// Added to every time limit on real sockets, for the time that sockets and processes take.
 pub const SOCKET_SLACK: Span = Span(50_000);
-/// The longest answer that is read, in bytes.
-const MAX_ANSWER: usize = 64 * 1024;
-/// A connection to a dispatcher on this machine that is not up by then never comes up.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE: usize = 64 * 1024;
+/// Timeout for connecting to a dispatcher, which runs on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the front, which deals out connections, knows of a dispatcher.
+/// A dispatcher as the front sees it, the load balancer that assigns clients to dispatchers.
 #[derive(Debug)]
 pub struct Backend {
-    /// Where clients reach it, through a link or not.
+    /// The address at which clients reach it, which may be that of a link.
     pub address: Mutex<Option<SocketAddr>>,
-    /// The front has it in.
+    /// The front assigns clients to it.
     pub in_rotation: AtomicBool,
-    idle: Mutex<Vec<SendRequest<Full<Bytes>>>>,
-    /// Counts its processes.
+    idle_connections: Mutex<Vec<SendRequest<Full<Bytes>>>>,
+    /// Incremented each time that its process ends.
     epoch: AtomicU64,
-    /// How many jobs ended so, as clients saw it.
+    /// Jobs served by the present process, as clients saw it.
     served: AtomicU64,
+    /// Jobs that the present process may or may not have served: the connection was lost or the client timed out.
     indeterminate: AtomicU64,
 }
 
 impl Backend {
-    /// One that the front does not have in.
+    /// Creates a backend that is not in rotation.
     pub fn new() -> Self {
         Backend {
             address: Mutex::default(),
             in_rotation: AtomicBool::new(false),
-            idle: Mutex::default(),
+            idle_connections: Mutex::default(),
             epoch: AtomicU64::new(0),
             served: AtomicU64::new(0),
             indeterminate: AtomicU64::new(0),
         }
     }
 
-    /// One that the front has in, at this address.
+    /// Creates a backend in rotation at this address.
     pub fn in_rotation_at(address: SocketAddr) -> Self {
         let backend = Backend::new();
         backend.add_to_rotation(address);
         backend
     }
 
-    /// The front has it in, at this address.
+    /// Makes the front assign clients to this address.
     pub fn add_to_rotation(&self, address: SocketAddr) {
         *lock(&self.address) = Some(address);
         self.in_rotation.store(true, Ordering::Relaxed);
     }
 
-    /// Whether clients use it: the front has it in, or a connection to it is still open.
+    /// Whether clients use it: it is in rotation, or a connection to it is still open.
     fn is_used(&self) -> bool {
-        self.in_rotation.load(Ordering::Relaxed) || lock(&self.idle).iter().any(SendRequest::is_ready)
+        self.in_rotation.load(Ordering::Relaxed)
+            || lock(&self.idle_connections).iter().any(SendRequest::is_ready)
     }
 
-    /// Its process is gone: connections lead nowhere, and counts begin anew with the next.
+    /// Notes that its process has ended: idle connections are dropped, and counts start at zero for the next process.
     pub fn process_ended(&self) {
         self.epoch.fetch_add(1, Ordering::Relaxed);
-        lock(&self.idle).clear();
+        lock(&self.idle_connections).clear();
         self.served.store(0, Ordering::Relaxed);
         self.indeterminate.store(0, Ordering::Relaxed);
     }
 
-    /// Jobs that it served; none where it cannot be known, since a connection broke or a client gave up.
+    /// Number of jobs that the present process served, or `None` if it is uncertain because a connection was lost or a
+    /// client timed out.
     pub fn served(&self) -> Option<u64> {
         (self.indeterminate.load(Ordering::Relaxed) == 0).then(|| self.served.load(Ordering::Relaxed))
     }
@@ -103,164 +106,167 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What clients counted.
+/// Counts of the clients.
 #[derive(Clone, Debug)]
 pub struct LoadCounts {
-    /// Each job that was asked for.
+    /// Each job of the load, in order of arrival.
     pub jobs: Vec<Asked>,
-    /// Time to an answer, from when it was meant to be sent, in microseconds.
+    /// Time from a job's arrival to its answer, in microseconds, for served jobs.
     pub latency: Histogram<u64>,
-    /// Jobs served, in time or not.
+    /// Jobs that were served, in time or not.
     pub served: u64,
-    /// Refusals.
+    /// Attempts that were refused.
     pub refused: u64,
-    /// Failures, and jobs without an answer.
+    /// Attempts that failed or got no answer.
     pub failed: u64,
-    /// Tries after the first.
+    /// Attempts after the first of a job.
     pub retries: u64,
-    /// Jobs served too late, for each class.
+    /// For each class, the number of jobs that were served later than their latency goal.
     pub late: Vec<usize>,
 }
 
-/// The clients of a play. Clones are the same.
+/// All clients of a run. Clones share the same clients.
 #[derive(Clone)]
 pub struct LoadGenerator(Arc<Inner>);
 
 struct Inner {
-    s: Scenario,
+    scenario: Scenario,
     backends: Arc<Vec<Backend>>,
     event_log: EventLog,
     lateness: Lateness,
-    counted: Mutex<LoadCounts>,
+    counts: Mutex<LoadCounts>,
     rng: Mutex<SmallRng>,
-    next: AtomicU64,
-    /// No retries any more: the play ends.
-    ending: AtomicBool,
+    next_job: AtomicU64,
+    /// Set when all arrivals have been sent, so that the run can end.
+    no_retries: AtomicBool,
 }
 
 impl LoadGenerator {
-    /// Clients of these dispatchers.
+    /// Creates the clients of these dispatchers.
     pub fn new(
-        s: &Scenario,
+        scenario: &Scenario,
         seed: u64,
         backends: Arc<Vec<Backend>>,
         event_log: EventLog,
         lateness: Lateness,
     ) -> Self {
-        // Three digits, from 1 us to an hour.
+        // From 1 us to an hour, with a precision of three digits.
         let latency = Histogram::new_with_bounds(1, 3_600_000_000, 3);
-        let counted = LoadCounts {
+        let counts = LoadCounts {
             jobs: Vec::new(),
-            latency: latency.unwrap_or_else(|_| unreachable!("bounds that hold")),
+            latency: latency.unwrap_or_else(|_| unreachable!("the bounds of the histogram are valid")),
             served: 0,
             refused: 0,
             failed: 0,
             retries: 0,
-            late: vec![0; s.classes.len()],
+            late: vec![0; scenario.classes.len()],
         };
         LoadGenerator(Arc::new(Inner {
-            s: s.clone(),
+            scenario: scenario.clone(),
             backends,
             event_log,
             lateness,
-            counted: Mutex::new(counted),
+            counts: Mutex::new(counts),
             rng: Mutex::new(stream(seed, Stream::Retry, 1)),
-            next: AtomicU64::new(1),
-            ending: AtomicBool::new(false),
+            next_job: AtomicU64::new(1),
+            no_retries: AtomicBool::new(false),
         }))
     }
 
-    /// What was counted so far.
+    /// The counts so far.
     pub fn counts(&self) -> LoadCounts {
-        lock(&self.0.counted).clone()
+        lock(&self.0.counts).clone()
     }
 
-    /// Sends all arrivals, each at its time after `begin`, and waits for what becomes of them.
+    /// Sends all arrivals, each at its time after `begin`, and waits until all of them have ended.
     pub async fn run(&self, begin: Time, arrivals: &[Arrival]) {
         let clock = self.0.event_log.clock();
-        let mut all = tokio::task::JoinSet::new();
+        let mut requests = tokio::task::JoinSet::new();
         for arrival in arrivals {
-            let meant = begin + (arrival.asked - Time(0));
-            self.0.lateness.record(clock.sleep_until(meant).await);
+            let due = begin + (arrival.asked - Time(0));
+            self.0.lateness.record(clock.sleep_until(due).await);
             let (load, mut arrival) = (self.clone(), *arrival);
             let number = {
-                let mut counted = lock(&self.0.counted);
-                counted.jobs.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
-                counted.jobs.len() - 1
+                let mut counts = lock(&self.0.counts);
+                counts.jobs.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
+                counts.jobs.len() - 1
             };
-            arrival.asked = meant;
-            all.spawn(async move { load.job(number, arrival).await });
-            while all.try_join_next().is_some() {}
+            arrival.asked = due;
+            requests.spawn(async move { load.run_job(number, arrival).await });
+            while requests.try_join_next().is_some() {}
         }
-        self.0.ending.store(true, Ordering::Relaxed);
-        while all.join_next().await.is_some() {}
+        self.0.no_retries.store(true, Ordering::Relaxed);
+        while requests.join_next().await.is_some() {}
     }
 
-    /// One job, to its end: with its retries.
-    async fn job(&self, number: usize, arrival: Arrival) {
-        let class = &self.0.s.classes[arrival.class];
+    /// Sends a job and retries it until it is served or may not be retried.
+    async fn run_job(&self, number: usize, arrival: Arrival) {
+        let class = &self.0.scenario.classes[arrival.class];
         let clock = self.0.event_log.clock();
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
-            let (end, advice) = self.try_once(&arrival).await;
+            attempts += 1;
+            let (outcome, retry_after) = self.send_once(&arrival).await;
             let now = clock.now();
             {
-                let mut counted = lock(&self.0.counted);
-                match end {
+                let mut counts = lock(&self.0.counts);
+                match outcome {
                     RequestOutcome::Served => {
-                        let took = now - arrival.asked;
+                        let latency = now - arrival.asked;
                         let aim = class.get("aim") / 1000.0 + class.get("stretch") * arrival.work;
-                        counted.jobs[number].in_time = took.secs() <= aim;
-                        counted.late[arrival.class] += usize::from(took.secs() > aim);
-                        counted.served += 1;
-                        counted.latency.saturating_record(took.0.max(1) as u64);
+                        counts.jobs[number].in_time = latency.secs() <= aim;
+                        counts.late[arrival.class] += usize::from(latency.secs() > aim);
+                        counts.served += 1;
+                        counts.latency.saturating_record(latency.0.max(1) as u64);
                         return;
                     }
-                    RequestOutcome::Refused => counted.refused += 1,
+                    RequestOutcome::Refused => counts.refused += 1,
                     RequestOutcome::Failed
                     | RequestOutcome::ConnectionLost
                     | RequestOutcome::NotConnected
-                    | RequestOutcome::TimedOut => counted.failed += 1,
+                    | RequestOutcome::TimedOut => counts.failed += 1,
                 }
-                let harmless = matches!(end, RequestOutcome::Refused | RequestOutcome::NotConnected)
+                let safe_to_retry = matches!(outcome, RequestOutcome::Refused | RequestOutcome::NotConnected)
                     || class.effect() == Effect::Safe;
-                let may =
-                    tries <= self.0.s.count("clients.retries") && !self.0.ending.load(Ordering::Relaxed);
-                if !harmless || !may || end == RequestOutcome::TimedOut {
+                let may_retry = attempts <= self.0.scenario.count("clients.retries")
+                    && !self.0.no_retries.load(Ordering::Relaxed);
+                if !safe_to_retry || !may_retry || outcome == RequestOutcome::TimedOut {
                     return;
                 }
-                counted.retries += 1;
+                counts.retries += 1;
             }
-            let back_off = self.0.s.get("clients.back-off") * (0.5 + lock(&self.0.rng).random::<f64>());
-            let advice = advice.filter(|_| self.0.s.on("clients.heeds-advice")).unwrap_or_default();
-            tokio::time::sleep(Duration::from_secs_f64(back_off / 1000.0).max(advice)).await;
+            let back_off =
+                self.0.scenario.get("clients.back-off") * (0.5 + lock(&self.0.rng).random::<f64>());
+            let retry_after =
+                retry_after.filter(|_| self.0.scenario.on("clients.heeds-advice")).unwrap_or_default();
+            tokio::time::sleep(Duration::from_secs_f64(back_off / 1000.0).max(retry_after)).await;
         }
     }
 
-    /// A dispatcher of the client's zone that the front has in; else any.
-    fn backend(&self, zone: usize) -> Option<usize> {
-        let zones = self.0.s.count("zones");
+    /// Draws a dispatcher in use, in the client's zone if there is one.
+    fn choose_backend(&self, zone: usize) -> Option<usize> {
+        let zones = self.0.scenario.count("zones");
         let backends = &self.0.backends;
-        let has = |backend: &usize| backends[*backend].is_used();
-        let near: Vec<usize> =
-            (0..backends.len()).filter(|backend| backend % zones == zone).filter(has).collect();
-        let all = if near.is_empty() { (0..backends.len()).filter(has).collect() } else { near };
-        (!all.is_empty()).then(|| all[lock(&self.0.rng).random_range(0..all.len())])
+        let is_used = |backend: &usize| backends[*backend].is_used();
+        let same_zone: Vec<usize> =
+            (0..backends.len()).filter(|backend| backend % zones == zone).filter(is_used).collect();
+        let candidates =
+            if same_zone.is_empty() { (0..backends.len()).filter(is_used).collect() } else { same_zone };
+        (!candidates.is_empty()).then(|| candidates[lock(&self.0.rng).random_range(0..candidates.len())])
     }
 
-    async fn try_once(&self, arrival: &Arrival) -> (RequestOutcome, Option<Duration>) {
-        let Some(dispatcher) = self.backend(arrival.zone) else {
+    async fn send_once(&self, arrival: &Arrival) -> (RequestOutcome, Option<Duration>) {
+        let Some(dispatcher) = self.choose_backend(arrival.zone) else {
             return (RequestOutcome::NotConnected, None);
         };
-        let class = &self.0.s.classes[arrival.class];
-        let id = JobId::new(dispatcher, self.0.next.fetch_add(1, Ordering::Relaxed));
+        let class = &self.0.scenario.classes[arrival.class];
+        let id = JobId::new(dispatcher, self.0.next_job.fetch_add(1, Ordering::Relaxed));
         let clock = self.0.event_log.clock();
         let time = class.get("deadline");
         let deadline = clock.now() + Span::from_ms(time);
         let once = class.effect() != Effect::Safe;
         self.0.event_log.record(Event::Sent { id: id.0, dispatcher, once, deadline_ms: deadline.ms() });
-        let facts =
+        let body =
             JobBody { slots: arrival.slots, work: arrival.work, key: arrival.key, worth: class.get("worth") };
         let request = Request::post(format!("/{}/k{}", class.name, arrival.key))
             .header("host", "service.internal")
@@ -268,19 +274,20 @@
             .header("x-service-class", &class.name)
             .header("x-time-left-ms", (time as u64).max(1))
             .header("x-facts", format!("slots={}", arrival.slots))
-            .body(Full::from(serde_json::to_vec(&facts).unwrap_or_default()));
-        // All of it is plain text.
+            .body(Full::from(serde_json::to_vec(&body).unwrap_or_default()));
+        // All parts are plain text, so the request is always valid.
         let Ok(request) = request else { return (RequestOutcome::NotConnected, None) };
-        let patience = deadline + self.0.s.span("rules.answer-slack") + SOCKET_SLACK;
+        let give_up_at = deadline + self.0.scenario.span("rules.answer-slack") + SOCKET_SLACK;
         let exchange = self.exchange(dispatcher, id, request);
-        let (end, advice, epoch) = match tokio::time::timeout_at(clock.instant(patience), exchange).await {
-            Ok(done) => done,
-            Err(_) => (RequestOutcome::TimedOut, None, 0),
-        };
-        self.0.event_log.record(Event::Closed { id: id.0, dispatcher, outcome: end });
+        let (outcome, retry_after, epoch) =
+            match tokio::time::timeout_at(clock.instant(give_up_at), exchange).await {
+                Ok(done) => done,
+                Err(_) => (RequestOutcome::TimedOut, None, 0),
+            };
+        self.0.event_log.record(Event::Closed { id: id.0, dispatcher, outcome });
         let backend = &self.0.backends[dispatcher];
-        match end {
-            // By the process that is there now, and not by the one before.
+        match outcome {
+            // Counted only if the present process served it, not the one before.
             RequestOutcome::Served if epoch == backend.epoch.load(Ordering::Relaxed) => {
                 backend.served.fetch_add(1, Ordering::Relaxed)
             }
@@ -290,11 +297,11 @@
             }
             RequestOutcome::Refused | RequestOutcome::Failed | RequestOutcome::NotConnected => 0,
         };
-        (end, advice)
+        (outcome, retry_after)
     }
 
-    /// Sends a request on a kept connection or a new one, and says to which process. Dropped, it closes the
-    /// connection.
+    /// Sends a request on an idle connection or a new one. Returns the outcome, the `Retry-After` time and the epoch of
+    /// the process. If the future is dropped, the connection is closed.
     async fn exchange(
         &self,
         dispatcher: usize,
@@ -303,7 +310,7 @@
     ) -> (RequestOutcome, Option<Duration>, u64) {
         let backend = &self.0.backends[dispatcher];
         let mut sender = loop {
-            let Some(kept) = lock(&backend.idle).pop() else {
+            let Some(idle) = lock(&backend.idle_connections).pop() else {
                 if !backend.in_rotation.load(Ordering::Relaxed) {
                     return (RequestOutcome::NotConnected, None, 0);
                 }
@@ -312,43 +319,44 @@
                     None => return (RequestOutcome::NotConnected, None, 0),
                 };
             };
-            if kept.is_ready() {
-                break kept;
+            if idle.is_ready() {
+                break idle;
             }
         };
-        // Read after the connection is there: what it leads to is of this epoch, or gone.
+        // Read once there is a connection: it leads to the process of this epoch, or that process has ended.
         let epoch = backend.epoch.load(Ordering::Relaxed);
         let response = match sender.send_request(request).await {
             Ok(response) => response,
-            // Nothing of it was written.
+            // No part of the request was written.
             Err(error) if error.is_canceled() => return (RequestOutcome::NotConnected, None, epoch),
             Err(_) => return (RequestOutcome::ConnectionLost, None, epoch),
         };
         let status = response.status().as_u16();
-        let advice =
+        let retry_after =
             response.headers().get("retry-after").and_then(|value| value.to_str().ok()?.parse().ok());
-        let advice = advice.filter(|secs: &f64| (0.0..3600.0).contains(secs)).map(Duration::from_secs_f64);
-        let Ok(body) = Limited::new(response.into_body(), MAX_ANSWER).collect().await else {
+        let retry_after =
+            retry_after.filter(|secs: &f64| (0.0..3600.0).contains(secs)).map(Duration::from_secs_f64);
+        let Ok(body) = Limited::new(response.into_body(), MAX_RESPONSE).collect().await else {
             return (RequestOutcome::ConnectionLost, None, epoch);
         };
         if sender.ready().await.is_ok() {
-            lock(&backend.idle).push(sender);
+            lock(&backend.idle_connections).push(sender);
         }
-        let end = match status {
-            // A log worker's result is the job's own number.
+        let outcome = match status {
+            // The result of a stand-in log worker is the job's number.
             200 if body.to_bytes() == id.to_string() => RequestOutcome::Served,
             429 | 503 => RequestOutcome::Refused,
             _ => RequestOutcome::Failed,
         };
-        (end, advice, epoch)
+        (outcome, retry_after, epoch)
     }
 
     async fn connect(&self, backend: &Backend) -> Option<SendRequest<Full<Bytes>>> {
         let address = (*lock(&backend.address))?;
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await.ok()?.ok()?;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // It ends with the last of who may send on it.
+        // The task ends when the sender is dropped.
         tokio::spawn(connection);
         Some(sender)
     }
--- a/crates/rig/src/response.rs
+++ b/crates/rig/src/response.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a body that is told piece by piece, and plain answers.
+//! HTTP responses of the stand-ins: a body that is streamed in chunks, and complete responses.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,31 +9,31 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The connection is to be reset here.
+/// Error in a body that makes the server reset the connection.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("reset")]
+#[error("the stand-in resets the connection")]
 pub(crate) struct ConnectionReset;
 
-/// What a stand-in says next.
+/// The next chunk of a streamed body, or a reset of its connection.
 pub(crate) type BodyChunk = Result<Bytes, ConnectionReset>;
 
-/// A body that comes as it is said. `gone` hears when nobody wants more of it.
+/// A body whose chunks are sent as they come. `on_drop` is called when the body is dropped, at its end or earlier.
 pub(crate) struct StreamBody {
-    from: Option<mpsc::Receiver<BodyChunk>>,
-    at_once: Option<Bytes>,
-    gone: Option<Box<dyn FnOnce() + Send>>,
+    chunks: Option<mpsc::Receiver<BodyChunk>>,
+    whole: Option<Bytes>,
+    on_drop: Option<Box<dyn FnOnce() + Send>>,
 }
 
 impl StreamBody {
-    pub fn new(from: mpsc::Receiver<BodyChunk>, gone: impl FnOnce() + Send + 'static) -> Self {
-        StreamBody { from: Some(from), at_once: None, gone: Some(Box::new(gone)) }
+    pub fn new(chunks: mpsc::Receiver<BodyChunk>, on_drop: impl FnOnce() + Send + 'static) -> Self {
+        StreamBody { chunks: Some(chunks), whole: None, on_drop: Some(Box::new(on_drop)) }
     }
 }
 
 impl Drop for StreamBody {
     fn drop(&mut self) {
-        if let Some(gone) = self.gone.take() {
-            gone();
+        if let Some(on_drop) = self.on_drop.take() {
+            on_drop();
         }
     }
 }
@@ -46,25 +46,25 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, ConnectionReset>>> {
-        if let Some(bytes) = self.at_once.take() {
+        if let Some(bytes) = self.whole.take() {
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
-        match &mut self.from {
-            Some(from) => from.poll_recv(cx).map(|said| said.map(|said| said.map(Frame::data))),
+        match &mut self.chunks {
+            Some(chunks) => chunks.poll_recv(cx).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
             None => Poll::Ready(None),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.from.is_none() && self.at_once.is_none()
+        self.chunks.is_none() && self.whole.is_none()
     }
 }
 
-/// A whole answer.
+/// A response with a complete body.
 pub(crate) fn plain_response(status: StatusCode, body: impl Into<Bytes>) -> Response<StreamBody> {
     let body: Bytes = body.into();
     let body = Some(body).filter(|body| !body.is_empty());
-    let mut response = Response::new(StreamBody { from: None, at_once: body, gone: None });
+    let mut response = Response::new(StreamBody { chunks: None, whole: body, on_drop: None });
     *response.status_mut() = status;
     response
 }
