--- a/crates/rig/src/link/delivery.rs
+++ b/crates/rig/src/link/delivery.rs
@@ -1,4 +1,4 @@
-//! What becomes of one piece on a link: drawn, without I/O or clock.
+//! Draws what a link does to one piece of data, without I/O or a clock.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,39 +10,39 @@
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From who opened the connection, or sent first.
+    /// From the client, which opens the connection or sends the first datagram, to the target.
     Forward,
-    /// Back to them.
+    /// From the target to the client.
     Backward,
 }
 
-/// How much later than its delay a datagram comes that others are to pass.
-const PASSED: Span = Span(20_000);
+/// Added to the delay of a reordered datagram, so that later ones overtake it.
+const REORDER_DELAY: Span = Span(20_000);
 
-/// What becomes of a piece.
+/// What a link does to a piece of data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// How much later it comes, once for each copy; none is lost.
+    /// The delay of each copy that is delivered; empty if the piece is lost.
     pub copies: Vec<Span>,
 }
 
 impl Delivery {
-    /// The fate of the piece of this number. The same four always give the same.
+    /// Draws the delivery of the piece with this number. The same arguments always give the same result.
     pub fn draw(faults: &Faults, seed: u64, direction: Direction, number: u64) -> Self {
         let mut bytes = [0; 9];
         bytes[0] = direction as u8;
         bytes[1..].copy_from_slice(&number.to_le_bytes());
         let mut rng = SmallRng::seed_from_u64(xxh3_64_with_seed(&bytes, seed));
-        // Every draw is taken, so that one more fault leaves what the others do as it is.
-        let [lost, twice, passed, first, second]: [f64; 5] = rng.random();
+        // All values are drawn whether needed or not, so that adding a fault does not change the effect of the others.
+        let [lost, duplicated, reordered, first, second]: [f64; 5] = rng.random();
         if faults.cut || lost < faults.loss {
             return Delivery { copies: Vec::new() };
         }
-        let late = |draw: f64| faults.delay + Span((faults.jitter.0 as f64 * draw) as i64);
-        let held = if passed < faults.reorder { PASSED } else { Span(0) };
-        let mut copies = vec![late(first) + held];
-        if twice < faults.duplicate {
-            copies.push(late(second));
+        let delay = |draw: f64| faults.delay + Span((faults.jitter.0 as f64 * draw) as i64);
+        let reorder_delay = if reordered < faults.reorder { REORDER_DELAY } else { Span(0) };
+        let mut copies = vec![delay(first) + reorder_delay];
+        if duplicated < faults.duplicate {
+            copies.push(delay(second));
         }
         Delivery { copies }
     }
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn one_seed_drops_the_same_numbers_whatever_else_is_wrong() {
+    fn the_same_seed_drops_the_same_pieces_whatever_other_faults_are_set() {
         let faults = Faults { loss: 0.2, ..Faults::default() };
         let first = lost(7, Direction::Forward, &faults);
         assert!((50..110).contains(&first.len()), "{}", first.len());
@@ -68,7 +68,7 @@
     }
 
     #[test]
-    fn nothing_wrong_changes_nothing() {
+    fn without_faults_every_piece_is_delivered_once_and_at_once() {
         for number in 0..100 {
             let delivery = Delivery::draw(&Faults::default(), 3, Direction::Forward, number);
             assert_eq!(delivery.copies, [Span(0)]);
--- a/crates/rig/src/link/mod.rs
+++ b/crates/rig/src/link/mod.rs
@@ -1,7 +1,7 @@
-//! Links: what passes between two parties goes through one, and can be disturbed there in either direction.
+//! Links: proxies between two parties that can inject faults in either direction.
 //!
-//! A link that breaks nothing changes nothing but a fraction of a millisecond. What it does to which piece is drawn
-//! from its seed, its direction and the piece's number, so one seed disturbs the same pieces again.
+//! A link without faults forwards everything and adds a fraction of a millisecond. What happens to a piece of data is
+//! drawn from the link's seed, the direction and the piece's number, so the same seed affects the same pieces again.
 
 mod delivery;
 mod tcp;
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 pub use udp::{UdpCounts, UdpLink};
 
-/// What disturbs a link at present; clones are the same control.
+/// The faults that a link injects at present. Clones control the same link.
 #[derive(Clone, Debug)]
 pub struct LinkControl {
     forward: Arc<watch::Sender<Faults>>,
@@ -30,24 +30,24 @@
 }
 
 impl LinkControl {
-    /// Disturbs the way there and the way back from now on, connections that are open included.
+    /// Sets the faults of both directions, also for connections that are open.
     pub fn set(&self, forward: Faults, backward: Faults) {
         self.forward.send_replace(forward);
         self.backward.send_replace(backward);
     }
 
-    /// Nothing is disturbed any more. What was held comes through.
+    /// Removes all faults. Data that a cut held back is forwarded.
     pub fn heal(&self) {
         self.set(Faults::default(), Faults::default());
     }
 
-    /// Nothing comes through either way; connections stay open.
+    /// Stops forwarding in both directions; connections stay open.
     pub fn cut_both_ways(&self) {
         let cut = Faults { cut: true, ..Faults::default() };
         self.set(cut, cut);
     }
 
-    /// What disturbs a direction.
+    /// The present faults of a direction.
     pub fn faults(&self, direction: Direction) -> Faults {
         *self.sender(direction).borrow()
     }
--- a/crates/rig/src/link/tcp.rs
+++ b/crates/rig/src/link/tcp.rs
@@ -1,4 +1,4 @@
-//! A link for connections.
+//! A link for TCP connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,21 +18,22 @@
 use super::{Delivery, Direction, Faults, LinkControl};
 use crate::clock::duration;
 
-/// The largest piece, in bytes.
-const PIECE: usize = 16 * 1024;
-/// A slow way lets through what comes in this time, then the next.
-const SLICE: Duration = Duration::from_millis(20);
-/// Pieces under way in one direction of a connection; more wait with their sender, as on a full path.
-const UNDER_WAY: usize = 64;
-/// Connections of one link; more wait to be accepted.
-const CONNECTIONS: usize = 4096;
+/// Maximum number of bytes that are read and forwarded as one piece.
+const MAX_PIECE: usize = 16 * 1024;
+/// A direction with a limited rate forwards at most the bytes of this interval at once.
+const RATE_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of pieces in flight in one direction of a connection. Beyond that the link stops reading, so that the
+/// sender is blocked as on a congested network path.
+const PIECES_IN_FLIGHT: usize = 64;
+/// Maximum number of connections of one link; more wait to be accepted.
+const MAX_CONNECTIONS: usize = 4096;
 
-/// A link for connections: who connects to its address comes out at its target.
+/// A link for TCP connections: it forwards each connection made to its address to its target.
 #[derive(Debug)]
 pub struct TcpLink {
-    /// Where to connect.
+    /// The address at which the link accepts connections.
     pub address: SocketAddr,
-    /// What disturbs it.
+    /// The faults of the link.
     pub control: LinkControl,
     target: Arc<Mutex<SocketAddr>>,
     task: JoinHandle<()>,
@@ -45,10 +46,10 @@
 }
 
 impl TcpLink {
-    /// A link at this address (port 0: any), to this target.
+    /// Opens a link at an address, where port 0 stands for any free port, to a target.
     ///
     /// # Errors
-    /// The address is taken, or there is no descriptor for it.
+    /// The address is in use, or no file descriptor is left.
     pub async fn open(
         at: SocketAddr,
         target: SocketAddr,
@@ -62,7 +63,7 @@
         Ok(TcpLink { address, control, target, task })
     }
 
-    /// New connections lead there from now on.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = target;
     }
@@ -77,11 +78,11 @@
 ) {
     let mut listener = Some(listener);
     let mut faults = control.watch(Direction::Forward);
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let pieces = Arc::new([AtomicU64::new(0), AtomicU64::new(0)]);
     loop {
         if faults.borrow_and_update().refuse {
-            // Nobody listens, so the system refuses.
+            // Without a listener the system refuses connections.
             listener = None;
             if faults.changed().await.is_err() {
                 return;
@@ -104,125 +105,129 @@
         };
         listener = Some(open);
         let Some(accepted) = accepted else { continue };
-        let Ok((near, _)) = accepted else {
-            // Out of descriptors, most likely: those that are open will end.
+        let Ok((client, _)) = accepted else {
+            // Most likely the rig is out of descriptors; open connections will release some.
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let to = *target.lock().unwrap_or_else(PoisonError::into_inner);
         let (control, pieces) = (control.clone(), pieces.clone());
         tokio::spawn(async move {
-            join(near, to, &control, seed, &pieces).await;
+            forward_connection(client, to, &control, seed, &pieces).await;
             drop(permit);
         });
     }
 }
 
-/// A connection that is dropped after this is reset.
-fn resets(stream: &TcpStream) {
+/// Makes the stream's connection end with a reset when the stream is dropped.
+fn reset_on_drop(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-async fn join(
-    mut near: TcpStream,
+async fn forward_connection(
+    mut client: TcpStream,
     to: SocketAddr,
     control: &LinkControl,
     seed: u64,
     pieces: &Arc<[AtomicU64; 2]>,
 ) {
-    let Ok(mut far) = TcpStream::connect(to).await else { return resets(&near) };
-    for stream in [&near, &far] {
+    let Ok(mut target_stream) = TcpStream::connect(to).await else { return reset_on_drop(&client) };
+    for stream in [&client, &target_stream] {
         let _ = stream.set_nodelay(true);
     }
-    let way = |direction| Way { faults: control.watch(direction), direction, seed, pieces: pieces.clone() };
+    let path = |direction| Path { faults: control.watch(direction), direction, seed, pieces: pieces.clone() };
     let ended = {
-        let ((near_in, near_out), (far_in, far_out)) = (near.split(), far.split());
-        // A way that ends well leaves the other open; one that breaks takes it along.
+        let ((client_read, client_write), (target_read, target_write)) =
+            (client.split(), target_stream.split());
+        // If one direction ends in order, the other stays open; if one breaks, the whole connection is reset.
         tokio::try_join!(
-            way(Direction::Forward).lead(near_in, far_out),
-            way(Direction::Backward).lead(far_in, near_out)
+            path(Direction::Forward).forward(client_read, target_write),
+            path(Direction::Backward).forward(target_read, client_write)
         )
     };
     if ended.is_err() {
-        resets(&near);
-        resets(&far);
+        reset_on_drop(&client);
+        reset_on_drop(&target_stream);
     }
 }
 
-/// A connection broke.
-struct Broke;
+/// Error for a connection that is broken and is to be reset.
+struct Broken;
 
 /// One direction of a connection.
-struct Way {
+struct Path {
     faults: watch::Receiver<Faults>,
     direction: Direction,
     seed: u64,
     pieces: Arc<[AtomicU64; 2]>,
 }
 
-/// What goes down a way, and when it may come out.
+/// A piece in flight, with the time from which it may be delivered.
 enum Piece {
     Bytes(Bytes, Instant),
-    /// No more follows.
+    /// The sender has closed its direction; no data follows.
     End(Instant),
     /// The connection is reset here.
     Reset(Instant),
 }
 
-impl Way {
-    async fn lead(self, from: ReadHalf<'_>, to: WriteHalf<'_>) -> Result<(), Broke> {
-        let (sender, receiver) = mpsc::channel(UNDER_WAY);
+impl Path {
+    async fn forward(self, from: ReadHalf<'_>, to: WriteHalf<'_>) -> Result<(), Broken> {
+        let (sender, receiver) = mpsc::channel(PIECES_IN_FLIGHT);
         let faults = self.faults.clone();
         tokio::try_join!(self.read(from, sender), write(to, receiver, faults)).map(drop)
     }
 
-    async fn read(mut self, mut from: ReadHalf<'_>, to: mpsc::Sender<Piece>) -> Result<(), Broke> {
-        let (mut passed, mut last) = (0.0_f64, Instant::now());
-        let mut buffer = BytesMut::with_capacity(PIECE);
+    async fn read(mut self, mut from: ReadHalf<'_>, to: mpsc::Sender<Piece>) -> Result<(), Broken> {
+        let (mut passed, mut deliver_at) = (0.0_f64, Instant::now());
+        let mut buffer = BytesMut::with_capacity(MAX_PIECE);
         loop {
-            uncut(&mut self.faults).await?;
-            buffer.reserve(PIECE);
-            // A way that is slow takes little at a time, so that what has come out is what would have by then.
+            wait_until_uncut(&mut self.faults).await?;
+            buffer.reserve(MAX_PIECE);
+            // With a limited rate little is read at a time, so that the bytes delivered by any moment match the rate.
             let rate = self.faults.borrow_and_update().rate;
-            let most = if rate > 0.0 { (rate * SLICE.as_secs_f64()).ceil() as usize } else { PIECE };
-            let mut room = (&mut buffer).limit(most.min(PIECE));
+            let limit =
+                if rate > 0.0 { (rate * RATE_INTERVAL.as_secs_f64()).ceil() as usize } else { MAX_PIECE };
+            let mut limited = (&mut buffer).limit(limit.min(MAX_PIECE));
             let read = tokio::select! {
-                // What was told of before it came holds for it.
+                // Checked in this order, so that faults set before the data arrived apply to it.
                 biased;
                 changed = self.faults.changed() => {
-                    changed.map_err(|_| Broke)?;
+                    changed.map_err(|_| Broken)?;
                     continue;
                 }
-                read = from.read_buf(&mut room) => read,
+                read = from.read_buf(&mut limited) => read,
             };
             let faults = *self.faults.borrow();
             let number = self.pieces[self.direction as usize].fetch_add(1, Ordering::Relaxed);
-            // What is lost on the way is sent again by the system: connections know delay alone.
-            let sure = Faults { cut: false, loss: 0.0, duplicate: 0.0, reorder: 0.0, ..faults };
-            let late = Delivery::draw(&sure, self.seed, self.direction, number).copies.first().copied();
-            let late = duration(late.unwrap_or(Span(0)));
-            last = last.max(Instant::now() + late);
+            // TCP retransmits lost packets, so on a connection the faults of datagrams have no effect; cuts are handled
+            // apart.
+            let delay_only = Faults { cut: false, loss: 0.0, duplicate: 0.0, reorder: 0.0, ..faults };
+            let delay =
+                Delivery::draw(&delay_only, self.seed, self.direction, number).copies.first().copied();
+            let delay = duration(delay.unwrap_or(Span(0)));
+            deliver_at = deliver_at.max(Instant::now() + delay);
             let piece = match read {
-                Ok(1..) => Piece::Bytes(buffer.split().freeze(), last),
-                Ok(0) => Piece::End(last),
-                Err(_) => return Err(Broke),
+                Ok(1..) => Piece::Bytes(buffer.split().freeze(), deliver_at),
+                Ok(0) => Piece::End(deliver_at),
+                Err(_) => return Err(Broken),
             };
-            let (bytes, ends) = match &piece {
+            let (bytes, is_end) = match &piece {
                 Piece::Bytes(bytes, _) => (bytes.len() as f64, false),
                 Piece::End(_) | Piece::Reset(_) => (0.0, true),
             };
             if faults.reset_at > 0.0 && passed + bytes >= faults.reset_at {
                 if let Piece::Bytes(bytes, at) = piece {
-                    let before = bytes.slice(..((faults.reset_at - passed) as usize).min(bytes.len()));
-                    let _ = to.send(Piece::Bytes(before, at)).await;
+                    let head = bytes.slice(..((faults.reset_at - passed) as usize).min(bytes.len()));
+                    let _ = to.send(Piece::Bytes(head, at)).await;
                     let _ = to.send(Piece::Reset(at)).await;
                 }
                 return Ok(());
             }
             passed += bytes;
-            to.send(piece).await.map_err(|_| Broke)?;
-            if ends {
+            to.send(piece).await.map_err(|_| Broken)?;
+            if is_end {
                 return Ok(());
             }
             if faults.rate > 0.0 {
@@ -232,26 +237,26 @@
     }
 }
 
-/// Waits while nothing comes through.
-async fn uncut(faults: &mut watch::Receiver<Faults>) -> Result<(), Broke> {
-    faults.wait_for(|faults| !faults.cut).await.map(drop).map_err(|_| Broke)
+/// Waits until the direction is not cut.
+async fn wait_until_uncut(faults: &mut watch::Receiver<Faults>) -> Result<(), Broken> {
+    faults.wait_for(|faults| !faults.cut).await.map(drop).map_err(|_| Broken)
 }
 
 async fn write(
     mut to: WriteHalf<'_>,
     mut from: mpsc::Receiver<Piece>,
     mut faults: watch::Receiver<Faults>,
-) -> Result<(), Broke> {
+) -> Result<(), Broken> {
     while let Some(piece) = from.recv().await {
         let (Piece::Bytes(_, at) | Piece::End(at) | Piece::Reset(at)) = &piece;
         if *at > Instant::now() {
             sleep_until(*at).await;
         }
-        uncut(&mut faults).await?;
+        wait_until_uncut(&mut faults).await?;
         match piece {
-            Piece::Bytes(bytes, _) => to.write_all(&bytes).await.map_err(|_| Broke)?,
-            Piece::End(_) => return to.shutdown().await.map_err(|_| Broke),
-            Piece::Reset(_) => return Err(Broke),
+            Piece::Bytes(bytes, _) => to.write_all(&bytes).await.map_err(|_| Broken)?,
+            Piece::End(_) => return to.shutdown().await.map_err(|_| Broken),
+            Piece::Reset(_) => return Err(Broken),
         }
     }
     Ok(())
--- a/crates/rig/src/link/udp.rs
+++ b/crates/rig/src/link/udp.rs
@@ -1,4 +1,4 @@
-//! A link for datagrams.
+//! A link for UDP datagrams.
 
 use std::collections::HashMap;
 use std::io;
@@ -15,26 +15,26 @@
 use super::{Delivery, Direction, LinkControl};
 use crate::clock::duration;
 
-/// The largest datagram.
-const MOST: usize = 64 * 1024;
-/// Datagrams under way; more are lost, and counted.
-const UNDER_WAY: usize = 4096;
-/// Senders that a link knows, each with a socket of its own; datagrams of more are lost, and counted.
-const SENDERS: usize = 1024;
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM: usize = 64 * 1024;
+/// Maximum number of delayed datagrams in flight; more are dropped and counted.
+const DATAGRAMS_IN_FLIGHT: usize = 4096;
+/// Maximum number of senders of a link, each with a socket of its own; datagrams of others are dropped and counted.
+const MAX_SENDERS: usize = 1024;
 
-/// What became of datagrams, in the order they received.
+/// Counts of a link's datagrams in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct UdpCounts {
-    /// Datagrams that received.
+    /// Datagrams that were received.
     #[serde(rename = "came")]
     pub received: u64,
-    /// Copies that went on.
+    /// Copies that were sent on.
     #[serde(rename = "went")]
     pub forwarded: u64,
-    /// Datagrams lost by the script.
+    /// Datagrams that the link's faults dropped.
     #[serde(rename = "lost")]
     pub dropped: u64,
-    /// Datagrams lost for want of room in the rig: a play with some is void.
+    /// Datagrams dropped because the rig was at a limit; a run with such drops proves nothing.
     #[serde(rename = "no_room")]
     pub over_capacity: u64,
 }
@@ -47,12 +47,12 @@
     over_capacity: AtomicU64,
 }
 
-/// A link for datagrams: what is sent to its address comes out at its target, and answers come back.
+/// A link for UDP datagrams: it forwards datagrams sent to its address to its target, and replies to their sender.
 #[derive(Debug)]
 pub struct UdpLink {
-    /// Where to send to.
+    /// The address at which the link receives datagrams.
     pub address: SocketAddr,
-    /// What disturbs it.
+    /// The faults of the link.
     pub control: LinkControl,
     counters: Arc<Counters>,
     task: JoinHandle<()>,
@@ -65,30 +65,30 @@
 }
 
 impl UdpLink {
-    /// A link at this address (port 0: any), to this target.
+    /// Opens a link at an address, where port 0 stands for any free port, to a target.
     ///
     /// # Errors
-    /// The address is taken, or there is no descriptor for it.
+    /// The address is in use, or no file descriptor is left.
     pub async fn open(
         at: SocketAddr,
         target: SocketAddr,
         control: LinkControl,
         seed: u64,
     ) -> io::Result<Self> {
-        let front = Arc::new(UdpSocket::bind(at).await?);
-        let address = front.local_addr()?;
+        let socket = Arc::new(UdpSocket::bind(at).await?);
+        let address = socket.local_addr()?;
         let counters: Arc<Counters> = Arc::default();
-        let way = Way {
+        let path = Path {
             seed,
             control: control.clone(),
             counters: counters.clone(),
-            room: Arc::new(Semaphore::new(UNDER_WAY)),
+            permits: Arc::new(Semaphore::new(DATAGRAMS_IN_FLIGHT)),
         };
-        let task = tokio::spawn(serve(front, SocketAddr::new(at.ip(), 0), target, way));
+        let task = tokio::spawn(serve(socket, SocketAddr::new(at.ip(), 0), target, path));
         Ok(UdpLink { address, control, counters, task })
     }
 
-    /// What became of datagrams so far.
+    /// The counts so far.
     pub fn counts(&self) -> UdpCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         UdpCounts {
@@ -101,35 +101,36 @@
 }
 
 #[derive(Clone)]
-struct Way {
+struct Path {
     seed: u64,
     control: LinkControl,
     counters: Arc<Counters>,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-impl Way {
-    /// Sends a datagram on as the link has it now. No receiver is connected to: an address without one is silence.
-    async fn pass(&self, direction: Direction, data: &[u8], by: &Arc<UdpSocket>, to: SocketAddr) {
+impl Path {
+    /// Forwards a datagram under the link's present faults. Sockets are not connected, so an address without a receiver
+    /// gives no error.
+    async fn forward(&self, direction: Direction, data: &[u8], through: &Arc<UdpSocket>, to: SocketAddr) {
         let number = self.counters.received[direction as usize].fetch_add(1, Ordering::Relaxed);
         let delivery = Delivery::draw(&self.control.faults(direction), self.seed, direction, number);
         if delivery.copies.is_empty() {
             self.counters.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        for late in delivery.copies {
-            if late <= Span(0) {
-                let sent = by.send_to(data, to).await.is_ok();
+        for delay in delivery.copies {
+            if delay <= Span(0) {
+                let sent = through.send_to(data, to).await.is_ok();
                 self.counters.forwarded.fetch_add(u64::from(sent), Ordering::Relaxed);
                 continue;
             }
-            let Ok(permit) = self.room.clone().try_acquire_owned() else {
+            let Ok(permit) = self.permits.clone().try_acquire_owned() else {
                 self.counters.over_capacity.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
-            let (data, by, counters) = (data.to_vec(), by.clone(), self.counters.clone());
+            let (data, through, counters) = (data.to_vec(), through.clone(), self.counters.clone());
             tokio::spawn(async move {
-                tokio::time::sleep(duration(late)).await;
-                let sent = by.send_to(&data, to).await.is_ok();
+                tokio::time::sleep(duration(delay)).await;
+                let sent = through.send_to(&data, to).await.is_ok();
                 counters.forwarded.fetch_add(u64::from(sent), Ordering::Relaxed);
                 drop(permit);
             });
@@ -137,40 +138,41 @@
     }
 }
 
-/// Ends its task with the link.
-struct Answers(JoinHandle<()>);
+/// The task that forwards replies to one sender; it ends with the link.
+struct ReplyTask(JoinHandle<()>);
 
-impl Drop for Answers {
+impl Drop for ReplyTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-async fn serve(front: Arc<UdpSocket>, own: SocketAddr, target: SocketAddr, way: Way) {
-    let mut senders: HashMap<SocketAddr, (Arc<UdpSocket>, Answers)> = HashMap::new();
-    let mut buffer = vec![0; MOST];
+async fn serve(socket: Arc<UdpSocket>, bind_address: SocketAddr, target: SocketAddr, path: Path) {
+    let mut senders: HashMap<SocketAddr, (Arc<UdpSocket>, ReplyTask)> = HashMap::new();
+    let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
-        // An error speaks of a datagram sent before: whoever it was for is not there at present.
-        let Ok((length, from)) = front.recv_from(&mut buffer).await else { continue };
+        // An error here reports that an earlier datagram found no receiver.
+        let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         if !senders.contains_key(&from) {
-            let room = senders.len() < SENDERS;
-            let Some(far) = (if room { UdpSocket::bind(own).await.ok() } else { None }) else {
-                way.counters.over_capacity.fetch_add(1, Ordering::Relaxed);
+            let has_room = senders.len() < MAX_SENDERS;
+            let Some(upstream) = (if has_room { UdpSocket::bind(bind_address).await.ok() } else { None })
+            else {
+                path.counters.over_capacity.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
-            let far = Arc::new(far);
-            let answers = tokio::spawn(answers(far.clone(), front.clone(), from, way.clone()));
-            senders.insert(from, (far, Answers(answers)));
+            let upstream = Arc::new(upstream);
+            let replies = tokio::spawn(forward_replies(upstream.clone(), socket.clone(), from, path.clone()));
+            senders.insert(from, (upstream, ReplyTask(replies)));
         }
-        let (far, _) = &senders[&from];
-        way.pass(Direction::Forward, &buffer[..length], far, target).await;
+        let (upstream, _) = &senders[&from];
+        path.forward(Direction::Forward, &buffer[..length], upstream, target).await;
     }
 }
 
-async fn answers(far: Arc<UdpSocket>, front: Arc<UdpSocket>, to: SocketAddr, way: Way) {
-    let mut buffer = vec![0; MOST];
+async fn forward_replies(upstream: Arc<UdpSocket>, socket: Arc<UdpSocket>, to: SocketAddr, path: Path) {
+    let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
-        let Ok((length, _)) = far.recv_from(&mut buffer).await else { continue };
-        way.pass(Direction::Backward, &buffer[..length], &front, to).await;
+        let Ok((length, _)) = upstream.recv_from(&mut buffer).await else { continue };
+        path.forward(Direction::Backward, &buffer[..length], &socket, to).await;
     }
 }
