--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Plays drawn from seeds: reproducible, playable, and cut down to what matters.
+//! Runs drawn from seeds: they are reproducible, valid scripts, and a failing one is reduced to the parts that fail.
 
 use rookspoke_emulator::scenario::{Scenario, Stage};
 use rookspoke_emulator::script;
@@ -10,36 +10,37 @@
 }
 
 #[test]
-fn every_seed_draws_a_play_within_its_sizes() {
+fn every_seed_draws_a_run_within_the_size_limits() {
     let (mut with_faults, mut largest) = (0, 0);
     for seed in 0..400 {
         let drawn = Drawn::new(seed, Sizes::FULL);
-        assert_eq!(drawn, Drawn::new(seed, Sizes::FULL), "the same seed draws the same");
-        let played = scenario(&drawn);
-        assert!((2..=30).contains(&played.count("dispatchers")), "{drawn}");
-        assert!((1..=40).contains(&played.count("workers")), "{drawn}");
-        let troubles = played.incidents.len() + played.disturbances.len();
+        assert_eq!(drawn, Drawn::new(seed, Sizes::FULL), "the same seed draws the same run");
+        let scenario = scenario(&drawn);
+        assert!((2..=30).contains(&scenario.count("dispatchers")), "{drawn}");
+        assert!((1..=40).contains(&scenario.count("workers")), "{drawn}");
+        let troubles = scenario.incidents.len() + scenario.disturbances.len();
         assert!((2..=5).contains(&troubles) && troubles == drawn.incidents.len(), "{drawn}");
         with_faults += usize::from(drawn.schedule().is_some());
-        largest = largest.max(played.count("dispatchers"));
+        largest = largest.max(scenario.count("dispatchers"));
     }
     assert!(with_faults > 200 && largest > 25, "{with_faults} with faults, at most {largest} dispatchers");
 }
 
 #[test]
-fn a_failing_play_is_cut_down_to_what_fails() {
+fn a_failing_run_is_reduced_to_the_parts_that_fail() {
     let mut drawn = Drawn::new(4, Sizes::SMALL);
-    let guilty = drawn.incidents[1].clone();
+    let failing_incident = drawn.incidents[1].clone();
     drawn.faults = vec!["receive=EINTR:5".into(), "wait=EINTR:5".into()];
-    let fails =
-        |play: &Drawn| play.incidents.contains(&guilty) && play.faults.iter().any(|f| f.starts_with("wait"));
-    let least = drawn.clone().shrink(fails);
+    let fails = |run: &Drawn| {
+        run.incidents.contains(&failing_incident) && run.faults.iter().any(|f| f.starts_with("wait"))
+    };
+    let reduced = drawn.clone().shrink(fails);
     assert_eq!(
-        (&least.incidents[..], &least.faults[..]),
-        (&[guilty.clone()][..], &["wait=EINTR:5".to_owned()][..])
+        (&reduced.incidents[..], &reduced.faults[..]),
+        (&[failing_incident.clone()][..], &["wait=EINTR:5".to_owned()][..])
     );
-    assert_eq!((least.seed, &least.settings), (drawn.seed, &drawn.settings));
-    // One that no part is to blame for keeps none.
+    assert_eq!((reduced.seed, &reduced.settings), (drawn.seed, &drawn.settings));
+    // If it fails without any part, none is kept.
     let empty = drawn.shrink(|_| true);
     assert!(empty.incidents.is_empty() && empty.schedule().is_none());
     scenario(&empty);
