--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -59,7 +59,7 @@
     /// Set once the HTTP front is started.
     server_state: Option<ServerState>,
     /// Handle for operator commands to the Faktory front, if it is enabled.
-    faktory: Option<faktory::Operators>,
+    faktory: Option<faktory::OperatorHandle>,
     /// The console and the polling of the state folder; these tasks run until the process exits.
     operator_tasks: JoinSet<()>,
     logging: Arc<Logging>,
@@ -152,7 +152,7 @@
         let active = match &faktory.vrrp {
             Some(vrrp) => {
                 let driver = vrrp::Driver::open(vrrp).await?;
-                let master = driver.master();
+                let master = driver.active();
                 self.vrrp = Some((driver.counters(), master.clone()));
                 self.servers.spawn(driver.run(self.stopped()));
                 master
@@ -163,7 +163,7 @@
         let (settings, times) = (&config.settings, config.class_deadlines.clone());
         let (server, core) = faktory::Server::new(faktory, settings, times, config.seed, active);
         self.counters.push(("faktory", server.counters()));
-        self.faktory = Some(server.operators());
+        self.faktory = Some(server.operator_handle());
         self.dispatch_tasks.spawn(async move {
             tracing::error!("the Faktory dispatch task ended unexpectedly: {:?}", core.await)
         });
@@ -224,7 +224,7 @@
             );
         }
         if let (Some(server_state), true) = (&self.server_state, list_changed) {
-            server_state.channel().take_list_from(new.config.list_source.clone()).await;
+            server_state.channel().set_list_source(new.config.list_source.clone()).await;
         }
         // The platform may compute the time of SIGKILL from the old deadlines or from the new ones; with the shorter
         // of both a shutdown ends in time in either case.
--- a/crates/rookspoke/src/share.rs
+++ b/crates/rookspoke/src/share.rs
@@ -73,7 +73,7 @@
                 true => shared_client_limit(self.sockets),
                 false => client_limit(self.sockets),
             });
-            state.channel().share(shared.then_some(RESERVED_DESCRIPTORS));
+            state.channel().reserve_sockets(shared.then_some(RESERVED_DESCRIPTORS));
         }
     }
 
