--- a/crates/rig/src/invariants.rs
+++ b/crates/rig/src/invariants.rs
@@ -198,7 +198,7 @@
 /// client as if it had not run.
 #[derive(Default)]
 pub struct NoDuplicate {
-    once: HashSet<u64>,
+    not_repeatable: HashSet<u64>,
     /// For each job, the attempts that reached a log worker, less those that were turned away.
     may_have_run: HashMap<u64, i32>,
 }
@@ -210,8 +210,8 @@
 
     fn observe(&mut self, _: Time, event: &Event) -> Option<String> {
         match event {
-            Event::Sent { id, once: true, .. } => drop(self.once.insert(*id)),
-            Event::Reached { id, worker, .. } if self.once.contains(id) => {
+            Event::Sent { id, once: true, .. } => drop(self.not_repeatable.insert(*id)),
+            Event::Reached { id, worker, .. } if self.not_repeatable.contains(id) => {
                 let runs = self.may_have_run.entry(*id).or_default();
                 *runs += 1;
                 if *runs > 1 {
@@ -226,7 +226,7 @@
                     *runs -= 1;
                 }
             }
-            Event::Closed { id, outcome, .. } if self.once.contains(id) => {
+            Event::Closed { id, outcome, .. } if self.not_repeatable.contains(id) => {
                 let ran = self.may_have_run.get(id).is_some_and(|runs| *runs > 0);
                 if *outcome == RequestOutcome::Refused && ran {
                     return Some(format!("job {} was refused although it may have run", JobId(*id)));
@@ -492,8 +492,8 @@
                 (7, closed(1, RequestOutcome::ConnectionLost)),
             ],
         ];
-        for story in cases {
-            assert_eq!(broken(&story), ["one answer"], "{story:?}");
+        for events in cases {
+            assert_eq!(broken(&events), ["one answer"], "{events:?}");
         }
         let killed = [
             (0, sent(1, false)),
@@ -508,10 +508,10 @@
         let process = |event| Event::Dispatcher { dispatcher: 0, event };
         let reached = Event::Reached { id: 1, worker: 2, left_ms: Some(0.0) };
         let lost_after = |sent_at: i64, end: ProcessEvent, is_reached: bool| {
-            let mut story = vec![(0, process(ProcessEvent::Terminated)), (sent_at, sent(1, false))];
-            story.extend(is_reached.then(|| (sent_at + 1, reached.clone())));
-            story.extend([(900, process(end)), (901, closed(1, RequestOutcome::ConnectionLost))]);
-            !broken(&story).is_empty()
+            let mut events = vec![(0, process(ProcessEvent::Terminated)), (sent_at, sent(1, false))];
+            events.extend(is_reached.then(|| (sent_at + 1, reached.clone())));
+            events.extend([(900, process(end)), (901, closed(1, RequestOutcome::ConnectionLost))]);
+            !broken(&events).is_empty()
         };
         assert!(
             !lost_after(700, ProcessEvent::Killed, true),
@@ -530,8 +530,8 @@
             (9, process(ProcessEvent::Ready)),
             (10, sent(1, false)),
         ];
-        let story = [next.to_vec(), vec![(11, closed(1, RequestOutcome::ConnectionLost))]].concat();
-        assert_eq!(broken(&story), ["one answer"]);
+        let events = [next.to_vec(), vec![(11, closed(1, RequestOutcome::ConnectionLost))]].concat();
+        assert_eq!(broken(&events), ["one answer"]);
     }
 
     #[test]
@@ -545,7 +545,7 @@
         assert!(broken(&twice(false)).is_empty());
         let refused = vec![(0, sent(1, true)), (1, reached(1)), end(RequestOutcome::Refused)];
         assert_eq!(broken(&refused), ["no duplicate"]);
-        let story = vec![
+        let events = vec![
             (0, sent(1, true)),
             (1, reached(1)),
             (2, away(1)),
@@ -553,7 +553,7 @@
             (4, away(1)),
             end(RequestOutcome::Refused),
         ];
-        assert!(broken(&story).is_empty(), "it never ran");
+        assert!(broken(&events).is_empty(), "it never ran");
     }
 
     #[test]
@@ -566,12 +566,12 @@
                 (at, closed(1, RequestOutcome::Served)),
             ]
         };
-        let story = |rest| [vec![(0, notified(false)), (300, notified(false))], rest].concat();
-        assert!(broken(&story(job(550))).is_empty());
-        assert_eq!(broken(&story(job(551))), ["clean drain"]);
-        assert!(broken(&[story(vec![(400, notified(true))]), job(900)].concat()).is_empty());
+        let events = |rest| [vec![(0, notified(false)), (300, notified(false))], rest].concat();
+        assert!(broken(&events(job(550))).is_empty());
+        assert_eq!(broken(&events(job(551))), ["clean drain"]);
+        assert!(broken(&[events(vec![(400, notified(true))]), job(900)].concat()).is_empty());
         let again = (500, Event::Dispatcher { dispatcher: 0, event: ProcessEvent::Started });
-        assert!(broken(&[story(vec![again]), job(900)].concat()).is_empty());
+        assert!(broken(&[events(vec![again]), job(900)].concat()).is_empty());
     }
 
     #[test]
@@ -585,9 +585,9 @@
         assert_eq!(at_700(None), ["true deadline"]);
         let held_up =
             [(0, sent(1, false)), (10, Event::Dispatcher { dispatcher: 0, event: ProcessEvent::Stopped })];
-        let story =
+        let events =
             [held_up.to_vec(), vec![(700, reached(Some(900.0))), (800, closed(1, RequestOutcome::Served))]];
-        assert!(broken(&story.concat()).is_empty(), "the dispatcher was suspended meanwhile");
+        assert!(broken(&events.concat()).is_empty(), "the dispatcher was suspended meanwhile");
     }
 
     #[test]
