--- a/crates/channel/src/lib.rs
+++ b/crates/channel/src/lib.rs
@@ -35,7 +35,7 @@
 use request::{BadRequest, Facts, OpenId, OpenIds, RequestHead};
 use resolver::Command;
 use rookspoke_config::{Config, ListSource};
-use rookspoke_decisions::{Ban, ClassId, Effect, Note, RequestId, SettingsError, Span, Time};
+use rookspoke_decisions::{AttemptUpdate, Ban, ClassId, Effect, RequestId, SettingsError, Span, Time};
 use rookspoke_dispatch::{request_span, Answer, Clock, Core, Counters, Handle, Limits, Submission};
 use rookspoke_wire::Vocabulary;
 use subchannel::{Call, Shared, Subchannel, NO_WATCH};
@@ -85,7 +85,7 @@
 /// The body type of every response of the channel.
 pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
-type ProgressSink = Arc<dyn Fn(RequestId, usize, Note) -> BoxFuture<'static, ()> + Send + Sync>;
+type ProgressSink = Arc<dyn Fn(RequestId, usize, AttemptUpdate) -> BoxFuture<'static, ()> + Send + Sync>;
 
 /// Time limits for requests that arrive after a shutdown has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -130,9 +130,9 @@
         let shared = Arc::new(Shared {
             clock,
             vocabulary: config.vocabulary.clone(),
-            progress: Arc::new(move |request, attempt, note| {
+            progress: Arc::new(move |request, attempt, update| {
                 let handle = progress_handle.clone();
-                Box::pin(async move { handle.report_progress(request, attempt, note).await })
+                Box::pin(async move { handle.report_progress(request, attempt, update).await })
             }),
             counters: handle.counters().clone(),
             permits: Arc::new(Semaphore::new((sockets as f64 * WORKER_SOCKET_FRACTION) as usize)),
--- a/crates/channel/src/membership.rs
+++ b/crates/channel/src/membership.rs
@@ -76,7 +76,9 @@
                         handle.counters().lists_unusable.increment();
                         handle.update_list(ListScope::Unusable, Arc::new([])).await;
                     }
-                    ResolverResult::SourceChanged => handle.update_list(ListScope::Moved, Arc::new([])).await,
+                    ResolverResult::SourceChanged => {
+                        handle.update_list(ListScope::SourceChanged, Arc::new([])).await
+                    }
                     ResolverResult::Silent(since) => {
                         let since = clock.at(since);
                         handle.update_list(ListScope::Silent { since }, Arc::new([])).await;
--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -22,7 +22,7 @@
 use super::connection::{Connection, SendError};
 use super::lines::Lines;
 use super::{headers, report, ProgressSink};
-use rookspoke_decisions::{LoadReport, Name, Note, Outcome, Time, TOLD_WITHIN};
+use rookspoke_decisions::{AttemptUpdate, LoadReport, Name, Outcome, Time, NOTIFIED_WITHIN};
 use rookspoke_dispatch::{AttemptResult, CallAttempt, Clock, Counters, ProbeResult};
 use rookspoke_wire::Vocabulary;
 
@@ -115,11 +115,11 @@
     }
 
     /// Whether the list may still be used, judged by the open watch and by unreadable updates. A watch that
-    /// has been silent for `TOLD_WITHIN` is dead, even if this process was scheduled too late to have
+    /// has been silent for `NOTIFIED_WITHIN` is dead, even if this process was scheduled too late to have
     /// noticed.
     fn is_list_valid(&self, now: Time) -> bool {
         !self.list_unreadable.load(Ordering::Acquire)
-            && Time(self.last_watch_message.load(Ordering::Acquire)) + TOLD_WITHIN > now
+            && Time(self.last_watch_message.load(Ordering::Acquire)) + NOTIFIED_WITHIN > now
     }
 }
 
@@ -287,7 +287,7 @@
                 Err(SendError::AfterLastByte) => {
                     tracing::debug!("{}: a reused connection broke after the request was sent", self.0.name);
                     *lock(&self.0.shared.stale_connection_at) = Some(Instant::now());
-                    return Err(Outcome::Severed);
+                    return Err(Outcome::StaleConnection);
                 }
                 Err(SendError::BeforeLastByte) => {}
             }
@@ -390,7 +390,7 @@
                 // worker itself may be healthy.
                 if connection.reused {
                     *lock(&shared.stale_connection_at) = Some(Instant::now());
-                    break Err(Outcome::Severed);
+                    break Err(Outcome::StaleConnection);
                 }
                 break Err(Outcome::ConnectionLost);
             }
@@ -398,10 +398,10 @@
                 load = report::from_map(map, &shared.vocabulary).or(load);
             }
             match object.state.as_str() {
-                "started" => (shared.progress)(request, number, Note::Started).await,
+                "started" => (shared.progress)(request, number, AttemptUpdate::Started).await,
                 "running" => {
                     let share = object.share.unwrap_or(0.0);
-                    (shared.progress)(request, number, Note::Progress(share)).await;
+                    (shared.progress)(request, number, AttemptUpdate::Progress(share)).await;
                 }
                 "done" => {
                     let result = object.result.map(|raw| line.slice_ref(raw.get().as_bytes()));
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -1,51 +1,63 @@
-//! Health and load of workers, by what attempts, probes and reports say.
+//! Health and load of workers, derived from the outcomes of attempts, from probes and from load reports.
 
 use crate::admission::PRESSURE_GAIN;
 use crate::api::*;
 use crate::dispatcher::Dispatcher;
-use crate::placement::{KEY_MEMORY, PAPER_FULL};
+use crate::placement::{DEFAULT_SLOTS, KEY_DECAY};
 use crate::requests::AttemptState;
 use crate::worker::WorkerId;
 
-/// A key counted less often than this at a worker, in jobs, is forgotten there.
-pub(crate) const KEY_FORGOTTEN_BELOW: f64 = 0.05;
-/// Weight of a new report in a worker's mean.
+/// A key whose decayed count of jobs on a worker falls below this is no longer tracked there.
+pub(crate) const MIN_KEY_COUNT: f64 = 0.05;
+/// Weight of a new report in the moving average of a worker's load.
 const REPORT_GAIN: f64 = 0.3;
-/// Weight of any report in the mean fill of all workers.
+/// Weight of each report in the moving average of the fill over all workers.
 const FILL_GAIN: f64 = 0.02;
-/// About the age of a report, from which own slots are taken off.
-pub(crate) const OWN_SMOOTH: Span = Span(1_000_000);
-/// The queue that is likely behind a report of no free slots, as a part of the slots.
-const HIDDEN_QUEUE: f64 = 0.3;
-/// Age of news that says nothing: where many share a fleet, each hears of a worker seldom.
+/// Time constant for smoothing this dispatcher's own slots before they are subtracted from a report. It matches the
+/// typical age of a report.
+pub(crate) const OWN_SLOTS_DECAY: Span = Span(1_000_000);
+/// The queue assumed behind a report of no free slots that states no queue, as a fraction of the slots.
+const HIDDEN_QUEUE_RATIO: f64 = 0.3;
+/// A report older than this carries no information. In a shared fleet each dispatcher receives reports of a worker
+/// rarely.
 pub(crate) const STALE_AFTER: Span = Span(2_000_000);
-/// A job that has not started after this waits in a queue: no slot is free there.
+/// A job that has not started after this time waits in a queue: no slot of its worker is free.
 pub(crate) const QUEUED_AFTER: Span = Span(60_000);
-/// Weight of a new run time in the mean.
+/// Weight of a new run time in the moving average of its class.
 const RUN_GAIN: f64 = 0.05;
-/// A worker that turned a job away counts as Full for about a job's length.
-const FULL_FOR: Span = Span(200_000);
-/// First pause for a worker whose attempt failed, doubled each time in a row.
-const EJECTION: Span = Span(500_000);
-/// How often the pause is doubled at most.
-const EJECTION_DOUBLINGS: u32 = 4;
-/// Errors fade over this: one job served is no proof of health.
-pub(crate) const ERROR_MEMORY: Span = Span(10_000_000);
+/// A worker that turned a job away counts as Full for about the length of a job.
+const FULL_AFTER_REJECTION: Span = Span(200_000);
+/// How long a worker is ejected after a failed attempt (outlier ejection). Doubled with each consecutive failure.
+const BASE_EJECTION: Span = Span(500_000);
+/// Upper bound on the number of doublings.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
+/// Time constant with which errors decay. They are not reset by a success, since one served job does not prove
+/// health.
+pub(crate) const ERROR_DECAY: Span = Span(10_000_000);
 
 impl Dispatcher {
-    pub(crate) fn on_note(&mut self, id: RequestId, attempt: usize, note: Note, out: &mut Vec<Action>) {
+    pub(crate) fn on_update(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        update: AttemptUpdate,
+        out: &mut Vec<Action>,
+    ) {
         let now = self.now;
-        let Some((worker, sent)) = self.requests.on_note(id, attempt, note, now) else { return };
-        self.call_off(id, false, out);
+        // A job that has just started: its other attempts that have not started are cancelled.
+        let Some((worker_id, sent)) = self.requests.on_update(id, attempt, update, now) else { return };
+        self.cancel_attempts(id, false, out);
         self.advance(id, out);
-        let runs = ((now - sent).secs() - QUEUED_AFTER.secs()) / self.mean_run();
-        let Some(w) = self.fleet.get_mut(worker) else { return };
-        w.starts(sent);
-        if runs > 0.0 {
-            // The wait of an own job is the freshest news of a queue, but one alone shows none: a machine may be slow.
-            w.others.get_or_insert(self.fill * w.learned_slots.unwrap_or(PAPER_FULL));
-            let held = w.learned_slots.unwrap_or(PAPER_FULL) * (1.0 + runs) - w.smooth_own(now, OWN_SMOOTH);
-            w.blend_others(held, REPORT_GAIN, now);
+        let waited_runs = ((now - sent).secs() - QUEUED_AFTER.secs()) / self.mean_run_secs();
+        let Some(worker) = self.fleet.get_mut(worker_id) else { return };
+        worker.on_started(sent);
+        if waited_runs > 0.0 {
+            // The wait of an own job is the newest information on a worker's queue. It is averaged, because a single
+            // long wait does not prove a queue: the machine may be slow.
+            worker.other_slots.get_or_insert(self.mean_fill * worker.learned_slots.unwrap_or(DEFAULT_SLOTS));
+            let held = worker.learned_slots.unwrap_or(DEFAULT_SLOTS) * (1.0 + waited_runs)
+                - worker.smoothed_own_slots(now, OWN_SLOTS_DECAY);
+            worker.blend_other_slots(held, REPORT_GAIN, now);
         }
     }
 
@@ -53,69 +65,83 @@
         let (now, id) = (self.now, end.request);
         let Some(job) = self.requests.get_mut(id) else { return };
         let (class, slots, key) = (job.class, job.slots, job.key);
-        let Some(a) = job.attempts.get_mut(end.attempt).filter(|a| a.state == AttemptState::Pending) else {
+        let attempt = job.attempts.get_mut(end.attempt).filter(|a| a.state == AttemptState::Pending);
+        let Some(attempt) = attempt else {
             return;
         };
-        a.state = if end.outcome.proves_no_run() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
-        let (worker, took, sent) = (a.worker, a.started.map_or(end.latency, |at| now - at), a.sent);
-        self.on_report(Some(worker), end.load);
-        if let Some(w) = self.fleet.get_mut(worker) {
-            w.give_back(now, sent, slots, OWN_SMOOTH);
+        attempt.state =
+            if end.outcome.proves_no_run() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        let (worker_id, run_time, sent) =
+            (attempt.worker, attempt.started.map_or(end.latency, |at| now - at), attempt.sent);
+        self.on_report(Some(worker_id), end.load);
+        if let Some(worker) = self.fleet.get_mut(worker_id) {
+            worker.on_ended(now, sent, slots, OWN_SLOTS_DECAY);
             if let (Some(key), true) = (key, end.outcome.proves_no_run()) {
-                w.count_key(key, -1.0, now, KEY_MEMORY, KEY_FORGOTTEN_BELOW);
+                worker.count_key(key, -1.0, now, KEY_DECAY, MIN_KEY_COUNT);
             }
         }
         if end.outcome == Outcome::Served {
-            let mean = &mut self.run[class.0];
-            mean.0 += ((took.0 - mean.0) as f64 * RUN_GAIN) as i64;
-            let (cost, seen) = &mut self.costs[class.0];
-            *seen = seen.saturating_add(1);
-            *cost += (took.secs() - *cost) * RUN_GAIN.max(1.0 / (f64::from(*seen) + 1.0));
-            if let Some(t) = key.and_then(|key| self.table.get_mut(&key)) {
-                t.demand.add(now, KEY_MEMORY, took.secs() * slots);
+            let mean = &mut self.run_times[class.0];
+            mean.0 += ((run_time.0 - mean.0) as f64 * RUN_GAIN) as i64;
+            let (cost, count) = &mut self.run_costs[class.0];
+            *count = count.saturating_add(1);
+            *cost += (run_time.secs() - *cost) * RUN_GAIN.max(1.0 / (f64::from(*count) + 1.0));
+            if let Some(entry) = key.and_then(|key| self.table.get_mut(&key)) {
+                entry.demand.add(now, KEY_DECAY, run_time.secs() * slots);
             }
         }
-        self.judge(worker, end.outcome);
-        self.fleet.forget_if_idle(worker);
+        self.update_health(worker_id, end.outcome);
+        self.fleet.remove_if_idle(worker_id);
         if end.closed {
-            self.end(id, out);
+            self.close(id, out);
         }
         self.requests.close_if_done(id);
         self.advance(id, out);
     }
 
-    /// Health by outcomes: fast errors and dead connections must not look idle.
-    pub(crate) fn judge(&mut self, worker: WorkerId, outcome: Outcome) {
-        let (now, Some(w)) = (self.now, self.fleet.get_mut(worker)) else { return };
-        let ends = |of| f64::from(u8::from(outcome == of));
-        w.count_ends(now, ERROR_MEMORY, ends(Outcome::Error), ends(Outcome::Served));
+    /// Updates a worker's health by the outcome of an attempt or probe. A worker that fails is ejected for a while,
+    /// as otherwise fast errors and dead connections would make it look idle.
+    pub(crate) fn update_health(&mut self, worker_id: WorkerId, outcome: Outcome) {
+        let (now, Some(worker)) = (self.now, self.fleet.get_mut(worker_id)) else { return };
+        let matches_outcome = |of| f64::from(u8::from(outcome == of));
+        worker.count_outcomes(
+            now,
+            ERROR_DECAY,
+            matches_outcome(Outcome::Error),
+            matches_outcome(Outcome::Served),
+        );
         match outcome {
-            Outcome::Served => w.fails = 0,
-            Outcome::TurnedAway => w.full_until = now + FULL_FOR,
-            Outcome::Cancelled | Outcome::NotSent | Outcome::Severed | Outcome::Unusable => return,
+            Outcome::Served => worker.consecutive_failures = 0,
+            Outcome::TurnedAway => worker.full_until = now + FULL_AFTER_REJECTION,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection | Outcome::Unusable => return,
             _ => {
-                let again = f64::from(w.fails).max(w.errors(now, ERROR_MEMORY) - 1.0).round() as u32;
-                w.ejected_until = now + Span(EJECTION.0 << again.min(EJECTION_DOUBLINGS));
-                w.fails += 1;
+                let failures = f64::from(worker.consecutive_failures)
+                    .max(worker.error_count(now, ERROR_DECAY) - 1.0)
+                    .round() as u32;
+                worker.ejected_until = now + Span(BASE_EJECTION.0 << failures.min(MAX_EJECTION_DOUBLINGS));
+                worker.consecutive_failures += 1;
             }
         }
         if let Outcome::Served | Outcome::TurnedAway = outcome {
-            self.pressure += (ends(Outcome::TurnedAway) - self.pressure) * PRESSURE_GAIN;
+            self.pressure += (matches_outcome(Outcome::TurnedAway) - self.pressure) * PRESSURE_GAIN;
         }
     }
 
-    pub(crate) fn on_report(&mut self, worker: Option<WorkerId>, load: Option<LoadReport>) {
-        let (now, shared) = (self.now, self.shared());
-        let (Some(w), Some(load)) = (worker.and_then(|id| self.fleet.get_mut(id)), load) else { return };
-        let since = w.reported.map_or(OWN_SMOOTH, |at| (now - at).min(OWN_SMOOTH)).secs();
-        let [errors, served] = [load.errors_per_s, load.served_per_s].map(|rate| rate.unwrap_or(0.0) * since);
-        w.count_ends(now, ERROR_MEMORY, errors, served);
-        let Some(held) = w.learn(load, HIDDEN_QUEUE, PAPER_FULL) else { return };
-        let others = held - w.smooth_own(now, OWN_SMOOTH);
-        // What is left of old news is no mean, but a wrong figure.
-        let old = shared && w.reported.is_none_or(|at| now - at > STALE_AFTER);
-        w.blend_others(others, if old { 1.0 } else { REPORT_GAIN }, now);
-        w.reported = Some(now);
-        self.fill += (held / w.learned_slots.unwrap_or(PAPER_FULL) - self.fill) * FILL_GAIN;
+    pub(crate) fn on_report(&mut self, worker_id: Option<WorkerId>, load: Option<LoadReport>) {
+        let (now, shared) = (self.now, self.is_shared_fleet());
+        let (Some(worker), Some(load)) = (worker_id.and_then(|id| self.fleet.get_mut(id)), load) else {
+            return;
+        };
+        let covered = worker.reported_at.map_or(OWN_SLOTS_DECAY, |at| (now - at).min(OWN_SLOTS_DECAY)).secs();
+        let [errors, served] =
+            [load.errors_per_s, load.served_per_s].map(|rate| rate.unwrap_or(0.0) * covered);
+        worker.count_outcomes(now, ERROR_DECAY, errors, served);
+        let Some(held) = worker.learn_from_report(load, HIDDEN_QUEUE_RATIO, DEFAULT_SLOTS) else { return };
+        let other_slots = held - worker.smoothed_own_slots(now, OWN_SLOTS_DECAY);
+        // A stale value is replaced, not averaged: what has decayed since then is no longer a mean but a wrong value.
+        let stale = shared && worker.reported_at.is_none_or(|at| now - at > STALE_AFTER);
+        worker.blend_other_slots(other_slots, if stale { 1.0 } else { REPORT_GAIN }, now);
+        worker.reported_at = Some(now);
+        self.mean_fill += (held / worker.learned_slots.unwrap_or(DEFAULT_SLOTS) - self.mean_fill) * FILL_GAIN;
     }
 }
--- a/crates/dispatch/src/task.rs
+++ b/crates/dispatch/src/task.rs
@@ -166,7 +166,7 @@
             }
             if now >= self.next_publication {
                 self.next_publication = now + GAUGE_INTERVAL;
-                self.counters.gauges.publish(self.ledger.open_requests(), self.dispatcher.census());
+                self.counters.gauges.publish(self.ledger.open_requests(), self.dispatcher.worker_counts());
             }
         }
     }
@@ -215,7 +215,7 @@
                     class: submission.class,
                     tenant: submission.tenant,
                     key: submission.key,
-                    tag: submission.idempotency_hash,
+                    idempotency_hash: submission.idempotency_hash,
                     work: submission.work,
                     slots: submission.slots,
                     memory: submission.memory,
@@ -229,11 +229,11 @@
                     self.events.push_back(Event::ClientGone(id));
                 }
             }
-            Input::Progress(request, attempt, note) => {
+            Input::Progress(request, attempt, update) => {
                 let entry = self.ledger.get_mut(request);
                 let running = entry.and_then(|e| e.attempts.get(attempt)).is_some_and(|a| a.abort.is_some());
                 if running {
-                    self.events.push_back(Event::Note { request, attempt, note });
+                    self.events.push_back(Event::AttemptUpdate { request, attempt, update });
                 }
             }
             Input::List(scope, entries) => {
@@ -242,7 +242,7 @@
                     ListScope::Failed | ListScope::Unusable | ListScope::Silent { .. } => {
                         self.counters.lists_failed.increment();
                     }
-                    ListScope::Remembered | ListScope::Moved => {}
+                    ListScope::Remembered | ListScope::SourceChanged => {}
                 }
                 self.events.push_back(Event::List { scope, entries });
             }
@@ -376,7 +376,7 @@
                 self.operations.insert(abort.id(), Operation::Probe(worker, now));
             }
             Action::CloseIdle(worker) => self.transport.close_idle(&worker),
-            Action::Tell { .. } => {
+            Action::SendToPeer { .. } => {
                 tracing::debug!("no transport between dispatchers: dropping a message to another dispatcher")
             }
             Action::Log(text) => tracing::info!("{text}"),
