--- a/crates/conf/src/value.rs
+++ b/crates/conf/src/value.rs
@@ -1,4 +1,4 @@
-//! Kinds of values: how they are written, what they become, and how they are shown again.
+//! Kinds of values: parsing from words of a file, conversion to JSON, and formatting for output.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -7,59 +7,59 @@
 use crate::problem::Problem;
 use crate::syntax::Word;
 
-/// What a keyword's value may be. Bounds are part of the kind, and hold on both ends.
+/// Type and range of a keyword's value. Ranges include both bounds.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// A time, with its unit; kept in milliseconds.
+    /// A time with its unit, stored in milliseconds.
     Time {
-        /// The least, in milliseconds.
-        least: f64,
-        /// The most, in milliseconds.
-        most: f64,
+        /// Lower bound, in milliseconds.
+        min: f64,
+        /// Upper bound, in milliseconds.
+        max: f64,
     },
-    /// A time in steps of 10 ms; kept in hundredths of a second, as VRRP counts.
-    Hundredths {
-        /// The most, in hundredths of a second.
-        most: u64,
+    /// A time in steps of 10 ms, stored in centiseconds, the unit of VRRP.
+    Centiseconds {
+        /// Upper bound, in centiseconds. The lower one is 1.
+        max: u64,
     },
-    /// A number of bytes, with or without a unit.
+    /// A number of bytes, with or without a unit, stored in bytes.
     Size {
-        /// The least, in bytes.
-        least: u64,
-        /// The most, in bytes.
-        most: u64,
+        /// Lower bound, in bytes.
+        min: u64,
+        /// Upper bound, in bytes.
+        max: u64,
     },
     /// A whole number.
     Count {
-        /// The least.
-        least: u64,
-        /// The most.
-        most: u64,
+        /// Lower bound.
+        min: u64,
+        /// Upper bound; `u64::MAX` for none.
+        max: u64,
     },
-    /// Any number.
+    /// A decimal number.
     Number {
-        /// The least.
-        least: f64,
-        /// The most.
-        most: f64,
+        /// Lower bound.
+        min: f64,
+        /// Upper bound; `f64::MAX` for none.
+        max: f64,
     },
-    /// So many in a time; kept as a number for each second.
+    /// A number per unit of time, such as `300/min`, stored per second.
     Rate,
-    /// On or off.
+    /// A boolean, written `on` or `off`.
     Switch,
-    /// One of a few words, next to what each becomes.
+    /// One of a set of words. Each pair is the word in the file and the value in the tree.
     Choice(&'static [(&'static str, &'static str)]),
-    /// A word, or any text in quotes.
+    /// A word, or any text in quotes; not empty.
     Text,
-    /// One or more of them.
+    /// One or more texts, as in [`Kind::Text`].
     Texts,
-    /// An address with a port.
+    /// An IP address with a port.
     Address,
-    /// An IPv4 address with a port, one or more.
+    /// One or more IPv4 addresses, each with a port.
     PeerAddresses,
-    /// IPv4 addresses, one or more.
+    /// One or more IPv4 addresses.
     Ipv4s,
-    /// Sixteen hexadecimal digits.
+    /// A seed of 64 bits, written as 16 hexadecimal digits.
     Seed,
 }
 
@@ -70,29 +70,29 @@
 const RATES: [(&str, f64); 3] = [("s", 1.0), ("min", 60.0), ("h", 3600.0)];
 
 impl Kind {
-    /// What is expected, in words: for errors and for the page.
+    /// Describes valid values, for error messages and for the reference.
     pub fn expected(&self) -> String {
         match *self {
-            Kind::Time { least, most } => {
-                format!("a time from {} to {}, such as `250ms`", show_ms(least), show_ms(most))
+            Kind::Time { min, max } => {
+                format!("a time from {} to {}, such as `250ms`", format_ms(min), format_ms(max))
             }
-            Kind::Hundredths { most } => {
-                format!("a time from 10ms to {} in steps of 10ms", show_ms(most as f64 * 10.0))
+            Kind::Centiseconds { max } => {
+                format!("a time from 10ms to {} in steps of 10ms", format_ms(max as f64 * 10.0))
             }
-            Kind::Size { least, most } => {
-                format!("a size from {} to {}, such as `64KiB`", show_bytes(least), show_bytes(most))
+            Kind::Size { min, max } => {
+                format!("a size from {} to {}, such as `64KiB`", format_bytes(min), format_bytes(max))
             }
-            Kind::Count { least, most: u64::MAX } => format!("a whole number from {least} on"),
-            Kind::Count { least, most } => format!("a whole number from {least} to {most}"),
-            Kind::Number { least, most } if most == f64::MAX => format!("a number from {least} on"),
-            Kind::Number { least, most } => format!("a number from {least} to {most}"),
+            Kind::Count { min, max: u64::MAX } => format!("a whole number of at least {min}"),
+            Kind::Count { min, max } => format!("a whole number from {min} to {max}"),
+            Kind::Number { min, max } if max == f64::MAX => format!("a number of at least {min}"),
+            Kind::Number { min, max } => format!("a number from {min} to {max}"),
             Kind::Rate => "a rate, such as `5/s`".into(),
             Kind::Switch => "`on` or `off`".into(),
             Kind::Choice(words) => {
                 let words: Vec<String> = words.iter().map(|(word, _)| format!("`{word}`")).collect();
                 format!("one of {}", words.join(", "))
             }
-            Kind::Text => "a word, or a text in quotes".into(),
+            Kind::Text => "a word or a quoted text".into(),
             Kind::Texts => "one or more words".into(),
             Kind::Address => "an address with a port, such as `127.0.0.1:3000`".into(),
             Kind::PeerAddresses => "one or more IPv4 addresses with a port".into(),
@@ -101,16 +101,16 @@
         }
     }
 
-    /// Whether more than one word may follow the keyword.
+    /// Whether several values may follow the keyword.
     fn is_list(&self) -> bool {
         matches!(self, Kind::Texts | Kind::PeerAddresses | Kind::Ipv4s)
     }
 
-    /// Reads the words that follow a keyword.
+    /// Parses the words that follow a keyword and converts them to the value that is stored in the tree.
     ///
     /// # Errors
-    /// Says what was found and what is expected, at the word that is wrong.
-    pub fn read(&self, keyword: &Word, args: &[Word]) -> Result<Value, Problem> {
+    /// The first invalid word, with what was found and what was expected.
+    pub fn parse(&self, keyword: &Word, args: &[Word]) -> Result<Value, Problem> {
         let Some(first) = args.first() else {
             let text = format!("`{}` has no value, expected {}", keyword.text, self.expected());
             return Err(Problem::at(keyword.span, text));
@@ -120,33 +120,38 @@
             return Err(Problem::at(second.span, text));
         }
         if self.is_list() {
-            let values = args.iter().map(|arg| self.one(arg)).collect::<Result<Vec<_>, _>>()?;
+            let values = args.iter().map(|arg| self.parse_word(arg)).collect::<Result<Vec<_>, _>>()?;
             return Ok(Value::Array(values));
         }
-        self.one(first)
+        self.parse_word(first)
     }
 
-    fn one(&self, word: &Word) -> Result<Value, Problem> {
+    /// Parses one value.
+    fn parse_word(&self, word: &Word) -> Result<Value, Problem> {
         let text = word.text.as_str();
         let value = match *self {
-            Kind::Time { least, most } => with_unit(text, &TIMES)
+            Kind::Time { min, max } => split_unit(text, &TIMES)
                 .map(|(number, unit)| number * unit)
-                .filter(|ms| (least..=most).contains(ms))
-                .map(number),
-            Kind::Hundredths { most } => with_unit(text, &TIMES)
+                .filter(|ms| (min..=max).contains(ms))
+                .map(json_number),
+            Kind::Centiseconds { max } => split_unit(text, &TIMES)
                 .map(|(number, unit)| number * unit / 10.0)
-                .filter(|cs| cs.fract() == 0.0 && (1.0..=most as f64).contains(cs))
+                .filter(|cs| cs.fract() == 0.0 && (1.0..=max as f64).contains(cs))
                 .map(|cs| json!(cs as u64)),
-            Kind::Size { least, most } => size(text).filter(|n| (least..=most).contains(n)).map(|n| json!(n)),
-            Kind::Count { least, most } => {
-                text.parse::<u64>().ok().filter(|n| (least..=most).contains(n)).map(|n| json!(n))
+            Kind::Size { min, max } => parse_size(text).filter(|n| (min..=max).contains(n)).map(|n| json!(n)),
+            Kind::Count { min, max } => {
+                text.parse::<u64>().ok().filter(|n| (min..=max).contains(n)).map(|n| json!(n))
             }
-            Kind::Number { least, most } => {
-                text.parse::<f64>().ok().filter(|n| (least..=most).contains(n)).map(number)
+            Kind::Number { min, max } => {
+                text.parse::<f64>().ok().filter(|n| (min..=max).contains(n)).map(json_number)
             }
             Kind::Rate => text.split_once('/').and_then(|(count, unit)| {
                 let unit = RATES.iter().find(|(name, _)| *name == unit)?.1;
-                count.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0).map(|n| number(n / unit))
+                count
+                    .parse::<f64>()
+                    .ok()
+                    .filter(|n| n.is_finite() && *n >= 0.0)
+                    .map(|n| json_number(n / unit))
             }),
             Kind::Switch => match text {
                 "on" | "yes" | "true" => Some(json!(true)),
@@ -168,8 +173,8 @@
         value.ok_or_else(|| {
             let problem = Problem::at(word.span, format!("found `{text}`, expected {}", self.expected()));
             match *self {
-                Kind::Choice(words) => problem.nearest(text, words.iter().map(|(word, _)| *word)),
-                Kind::Time { .. } | Kind::Hundredths { .. } if text.parse::<f64>().is_ok() => {
+                Kind::Choice(words) => problem.suggest(text, words.iter().map(|(word, _)| *word)),
+                Kind::Time { .. } | Kind::Centiseconds { .. } if text.parse::<f64>().is_ok() => {
                     problem.help("a time needs its unit: us, ms, s, min or h")
                 }
                 _ => problem,
@@ -177,17 +182,17 @@
         })
     }
 
-    /// How a value is written in a file.
-    pub fn show(&self, value: &Value) -> String {
+    /// Formats a stored value as it is written in a file.
+    pub fn format(&self, value: &Value) -> String {
         match (self, value) {
             (_, Value::Array(values)) => {
-                values.iter().map(|value| self.show(value)).collect::<Vec<_>>().join(" ")
+                values.iter().map(|value| self.format(value)).collect::<Vec<_>>().join(" ")
             }
-            (Kind::Time { .. }, value) => value.as_f64().map_or_else(|| value.to_string(), show_ms),
-            (Kind::Hundredths { .. }, value) => {
-                value.as_f64().map_or_else(|| value.to_string(), |cs| show_ms(cs * 10.0))
+            (Kind::Time { .. }, value) => value.as_f64().map_or_else(|| value.to_string(), format_ms),
+            (Kind::Centiseconds { .. }, value) => {
+                value.as_f64().map_or_else(|| value.to_string(), |cs| format_ms(cs * 10.0))
             }
-            (Kind::Size { .. }, value) => value.as_u64().map_or_else(|| value.to_string(), show_bytes),
+            (Kind::Size { .. }, value) => value.as_u64().map_or_else(|| value.to_string(), format_bytes),
             (Kind::Rate, value) => format!("{value}/s"),
             (_, Value::Bool(on)) => if *on { "on" } else { "off" }.into(),
             (Kind::Choice(words), Value::String(text)) => {
@@ -205,21 +210,22 @@
     }
 }
 
-/// Text in quotes, as the grammar reads it.
+/// Quotes and escapes a text as [`crate::parse`] reads it.
 fn quote(text: &str) -> String {
     let escaped = text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n").replace('\t', "\\t");
     format!("\"{escaped}\"")
 }
 
-/// Whole numbers stay whole: readers of counts turn a fraction down.
-fn number(value: f64) -> Value {
+/// Converts a number to JSON, as an integer if it is whole: deserialization of a count rejects `4.0`.
+fn json_number(value: f64) -> Value {
     match value.fract() == 0.0 && value.abs() < 9e15 && value >= 0.0 {
         true => json!(value as u64),
         false => Number::from_f64(value).map_or(Value::Null, Value::Number),
     }
 }
 
-fn with_unit(text: &str, units: &[(&str, f64)]) -> Option<(f64, f64)> {
+/// Splits a text such as `1.5s` into its number and the factor of its unit.
+fn split_unit(text: &str, units: &[(&str, f64)]) -> Option<(f64, f64)> {
     let at = text.find(|c: char| c.is_ascii_alphabetic())?;
     let unit = units.iter().find(|(name, _)| *name == &text[at..])?.1;
     let digits = text[..at].bytes().all(|b| b.is_ascii_digit() || b == b'.');
@@ -227,7 +233,7 @@
     Some((number, unit))
 }
 
-fn size(text: &str) -> Option<u64> {
+fn parse_size(text: &str) -> Option<u64> {
     let at = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let unit = match &text[at..] {
         "" => 1,
@@ -236,7 +242,8 @@
     text[..at].parse::<u64>().ok()?.checked_mul(unit)
 }
 
-fn show_ms(ms: f64) -> String {
+/// Formats a time in the largest unit in which it is a whole number.
+fn format_ms(ms: f64) -> String {
     let unit = TIMES.iter().rev().find(|(_, unit)| ms >= *unit && (ms / unit).fract() == 0.0);
     match unit {
         Some((name, unit)) => format!("{}{name}", ms / unit),
@@ -244,10 +251,13 @@
     }
 }
 
-fn show_bytes(bytes: u64) -> String {
-    let binary = |name: &str| name.len() != 2;
-    let unit =
-        SIZES.iter().rev().find(|(name, unit)| binary(name) && bytes >= *unit && bytes.is_multiple_of(*unit));
+/// Formats a size in the largest binary unit in which it is a whole number.
+fn format_bytes(bytes: u64) -> String {
+    let is_binary = |name: &str| name.len() != 2;
+    let unit = SIZES
+        .iter()
+        .rev()
+        .find(|(name, unit)| is_binary(name) && bytes >= *unit && bytes.is_multiple_of(*unit));
     unit.map_or_else(|| format!("{bytes}B"), |(name, unit)| format!("{}{name}", bytes / unit))
 }
 
@@ -261,24 +271,24 @@
     }
 
     fn read(kind: Kind, text: &str) -> Result<Value, String> {
-        kind.read(&word("k"), &[word(text)]).map_err(|problem| problem.message)
+        kind.parse(&word("k"), &[word(text)]).map_err(|problem| problem.message)
     }
 
-    const ANY: Kind = Kind::Time { least: 0.0, most: 3.6e6 };
+    const ANY_TIME: Kind = Kind::Time { min: 0.0, max: 3.6e6 };
 
     #[test]
-    fn times_have_units() {
-        assert_eq!(read(ANY, "250ms"), Ok(json!(250)));
-        assert_eq!(read(ANY, "1.5s"), Ok(json!(1500)));
-        assert_eq!(read(ANY, "50us"), Ok(json!(0.05)));
+    fn a_time_requires_a_unit() {
+        assert_eq!(read(ANY_TIME, "250ms"), Ok(json!(250)));
+        assert_eq!(read(ANY_TIME, "1.5s"), Ok(json!(1500)));
+        assert_eq!(read(ANY_TIME, "50us"), Ok(json!(0.05)));
         for bad in ["250", "ms", "-1s", "1e3ms", "2h", "1 s", "NaNms", "infs", "1.2.3s"] {
-            assert!(read(ANY, bad).is_err(), "{bad}");
+            assert!(read(ANY_TIME, bad).is_err(), "{bad}");
         }
     }
 
     #[test]
-    fn sizes_are_whole_and_do_not_wrap() {
-        let any = Kind::Size { least: 1, most: u64::MAX };
+    fn a_size_is_a_whole_number_that_does_not_overflow() {
+        let any = Kind::Size { min: 1, max: u64::MAX };
         assert_eq!(read(any, "64KiB"), Ok(json!(65536)));
         assert_eq!(read(any, "512"), Ok(json!(512)));
         for bad in ["64K", "99999999999999999999", "18446744073709551615GiB", "-1", "1.5MiB", "0"] {
@@ -287,24 +297,29 @@
     }
 
     #[test]
-    fn bounds_hold_on_both_ends() {
-        let kind = Kind::Count { least: 2, most: 4 };
+    fn ranges_include_both_bounds() {
+        let kind = Kind::Count { min: 2, max: 4 };
         let found: Vec<bool> = ["1", "2", "4", "5"].iter().map(|n| read(kind, n).is_ok()).collect();
         assert_eq!(found, [false, true, true, false]);
-        assert!(read(Kind::Number { least: 0.0, most: 1.0 }, "NaN").is_err());
+        assert!(read(Kind::Number { min: 0.0, max: 1.0 }, "NaN").is_err());
     }
 
     proptest::proptest! {
         #[test]
-        fn what_is_shown_reads_back(ms in 0u32..3_600_000, text in ".{1,20}", bytes in 1u64..1 << 40) {
+        fn a_formatted_value_parses_to_the_same_value(
+            ms in 0u32..3_600_000,
+            text in ".{1,20}",
+            bytes in 1u64..1 << 40,
+        ) {
             let time = json!(ms);
-            proptest::prop_assert_eq!(read(ANY, &ANY.show(&time)), Ok(time));
-            let sizes = Kind::Size { least: 1, most: 1 << 40 };
-            proptest::prop_assert_eq!(read(sizes, &sizes.show(&json!(bytes))), Ok(json!(bytes)));
-            let line = format!("k {}", Kind::Text.show(&json!(text)));
-            // A text may hold characters that end a line for people only.
+            proptest::prop_assert_eq!(read(ANY_TIME, &ANY_TIME.format(&time)), Ok(time));
+            let sizes = Kind::Size { min: 1, max: 1 << 40 };
+            proptest::prop_assert_eq!(read(sizes, &sizes.format(&json!(bytes))), Ok(json!(bytes)));
+            let line = format!("k {}", Kind::Text.format(&json!(text)));
             let mut problems = Vec::new();
             let lines = crate::syntax::parse(0, &line, &mut problems);
+            // The grammar does not accept a carriage return inside quotes. Other Unicode line separators are
+            // ordinary characters.
             if !text.contains('\r') {
                 proptest::prop_assert_eq!(&lines[0].args[0].text, &text);
             }
--- a/crates/rookspoke/src/setup.rs
+++ b/crates/rookspoke/src/setup.rs
@@ -119,7 +119,7 @@
         overrides.extend(env_var("ROOKSPOKE_LOG").map(|text| quoted("ROOKSPOKE_LOG", "log.level", &text)));
         overrides.extend(config_args.set.iter().map(|(key, text)| Override {
             key: key.clone(),
-            text: text.clone(),
+            value: text.clone(),
             origin: Origin::Flag,
         }));
         let resolved = compile(Input { file, platform, overrides }).map_err(Box::new)?;
@@ -135,7 +135,7 @@
             resolved.tree["seed"] = format!("{seed:016x}").into();
         }
         let problem_at = |resolved: &Resolved, error: ConfigError| {
-            SetupError::Problems(Box::new(resolved.problem(&error.field, error.found)))
+            SetupError::Problems(Box::new(resolved.problem_at(&error.field, error.found)))
         };
         let mut config = Config::from_tree(&resolved.tree).map_err(|e| problem_at(&resolved, e))?;
         if draws_seed {
@@ -195,7 +195,7 @@
 /// An override whose text is quoted, so that the value of an environment variable is read as one word.
 fn quoted(variable: &str, key: &str, text: &str) -> Override {
     let text = format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""));
-    Override { key: key.into(), text, origin: Origin::Environment(variable.into()) }
+    Override { key: key.into(), value: text, origin: Origin::Environment(variable.into()) }
 }
 
 fn env_var(name: &str) -> Option<String> {
