--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -1347,7 +1347,7 @@
             service: score.classes[number],
         });
         let quantile = |q: f64| self.latency.value_at_quantile(q) as f64 / 1000.0;
-        let broken: BTreeMap<String, u64> = RULES
+        let violations: BTreeMap<String, u64> = RULES
             .iter()
             .map(|rule: &Rule| (rule.name().to_owned(), self.checker.violations(*rule)))
             .collect();
@@ -1378,7 +1378,7 @@
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
             spread: spread(&self.machines.iter().map(|m| m.worker.core_seconds).collect::<Vec<_>>()),
-            rules: broken,
+            rules: violations,
             first_broken: self.checker.first_violations().to_vec(),
         }
     }
