--- a/crates/emulator/src/check.rs
+++ b/crates/emulator/src/check.rs
@@ -139,7 +139,12 @@
         if let Some(since) = self.out_of_service.get(&(dispatcher, worker)) {
             if now - *since > self.limits.drain_grace {
                 let late = (now - *since).ms();
-                self.record(Rule::CleanDrain, now, format!("sent to {worker}, told {late} ms before"));
+                let grace = self.limits.drain_grace.ms();
+                let description = format!(
+                    "dispatcher {dispatcher} sent job {id} to log worker {worker} {late} ms after the notice of its \
+                     drain or end; expected within {grace} ms"
+                );
+                self.record(Rule::CleanDrain, now, description);
             }
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -150,10 +155,14 @@
         let duplicate = job.effect == Effect::Unsafe && may_have_run;
         job.attempts.push(None);
         if duplicate || (self.limits.forbid_parallel_attempts && pending > 0) {
-            self.record(Rule::NoDuplicate, now, format!("job {id} was sent again"));
+            self.record(
+                Rule::NoDuplicate,
+                now,
+                format!("job {id} was sent again while an earlier attempt was pending or may have run"),
+            );
         }
         if answered {
-            self.record(Rule::OneAnswer, now, format!("job {id} was sent after its answer"));
+            self.record(Rule::OneAnswer, now, format!("job {id} was sent after its final answer"));
         }
     }
 
@@ -178,7 +187,7 @@
             self.record(Rule::OneAnswer, now, format!("job {id} was {what}"));
         }
         if refused && may_have_run {
-            self.record(Rule::NoDuplicate, now, format!("job {id} may have run and was refused"));
+            self.record(Rule::NoDuplicate, now, format!("job {id} was refused although it may have run"));
         }
     }
 
@@ -197,7 +206,7 @@
             let Some(job) = self.jobs.get(&id) else { continue };
             if !job.answered {
                 self.job_released(id);
-                self.record(Rule::OneAnswer, now, format!("job {id} got no answer"));
+                self.record(Rule::OneAnswer, now, format!("job {id} got no answer by its deadline"));
             }
             // Its attempts end by the deadline as well, so no event refers to it after the retention time.
             self.expired.push_back((deadline, id));
@@ -242,7 +251,10 @@
         if overloaded {
             self.arrivals.remove(&worker);
             if notified >= NOTIFIED_SHARE * total {
-                let description = format!("{worker} was sent {total:.1} s of work, of which {notified:.1} by those told; it bears {budget:.1}");
+                let description = format!(
+                    "log worker {worker} received {total:.1} core-seconds of work in slow start, {notified:.1} of them from \
+                     dispatchers notified of its start; its budget is {budget:.1}"
+                );
                 self.record(Rule::GentleStart, now, description);
             }
         }
