--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -830,9 +830,9 @@
 
     fn start_jobs(&mut self, worker: usize) {
         let now = self.now;
-        while let Some((job, begins)) = self.machines[worker].worker.start_next() {
+        while let Some((job, phase)) = self.machines[worker].worker.start_next() {
             self.counts.starts += 1;
-            if begins == StartPhase::Fetching {
+            if phase == StartPhase::Fetching {
                 self.store.advance(now);
                 self.store.start_fetch((worker, job.attempt), self.scenario.span("store.fetch"));
                 self.plan_store_step();
