--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -7,27 +7,27 @@
 use serde::Serialize;
 
 use crate::model::play;
-use crate::policy::Kind;
+use crate::policy::PolicyKind;
 use crate::report::Report;
 use crate::rng::{stream, Stream};
-use crate::scenario::{find, plain, Scenario, CLASS_PARAMS, PARAMS};
+use crate::scenario::{find_param, to_number, Scenario, CLASS_PARAMS, PARAMS};
 
 /// Sets a parameter by its name; one of a class is `CLASS.NAME`.
 ///
 /// # Errors
 /// Says what is not known, or what is expected.
-pub fn set(scenario: &mut Scenario, name: &str, text: &str) -> Result<(), Problem> {
-    if let Some(param) = find(PARAMS, name) {
-        scenario.values.insert(param.name, plain(&param.read(text)?));
+pub fn set_parameter(scenario: &mut Scenario, name: &str, text: &str) -> Result<(), Problem> {
+    if let Some(param) = find_param(PARAMS, name) {
+        scenario.values.insert(param.name, to_number(&param.read(text)?));
         return Ok(());
     }
     let of_class = name.split_once('.').and_then(|(class, param)| {
         let class = scenario.classes.iter_mut().find(|c| c.name == class)?;
-        Some((class, find(CLASS_PARAMS, param)?))
+        Some((class, find_param(CLASS_PARAMS, param)?))
     });
     match of_class {
         Some((class, param)) => {
-            class.values.insert(param.name, plain(&param.read(text)?));
+            class.values.insert(param.name, to_number(&param.read(text)?));
             Ok(())
         }
         None => {
@@ -42,15 +42,19 @@
 ///
 /// # Errors
 /// The scenario's settings make no sense to the decisions.
-pub fn play_all(scenario: &Scenario, kinds: &[Kind], seeds: &[u64]) -> Result<Vec<Report>, SettingsError> {
-    let runs: Vec<(Kind, u64)> =
+pub fn run_all(
+    scenario: &Scenario,
+    kinds: &[PolicyKind],
+    seeds: &[u64],
+) -> Result<Vec<Report>, SettingsError> {
+    let runs: Vec<(PolicyKind, u64)> =
         kinds.iter().flat_map(|kind| seeds.iter().map(|seed| (*kind, *seed))).collect();
     runs.par_iter().map(|(kind, seed)| play(scenario, *kind, *seed)).collect()
 }
 
 /// A figure with its uncertainty.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Figure {
+pub struct Estimate {
     /// The mean over the seeds.
     pub mean: f64,
     /// The lower end of the interval that holds the true mean with a chance of 95 %.
@@ -61,44 +65,53 @@
     pub count: usize,
 }
 
-impl Figure {
+impl Estimate {
     /// Whether the interval leaves zero out.
-    pub fn is_clear(&self) -> bool {
+    pub fn excludes_zero(&self) -> bool {
         self.count > 1 && (self.low > 0.0 || self.high < 0.0)
     }
 }
 
 /// Samples drawn for an interval.
-const RESAMPLES: usize = 2000;
+const BOOTSTRAP_RESAMPLES: usize = 2000;
 
 /// The mean, and an interval by resampling (the percentile bootstrap, Efron, 1979). It takes no shape for granted:
 /// service figures have a long tail on the bad side. The draws are always the same.
-pub fn figure(values: &[f64]) -> Figure {
+pub fn estimate(values: &[f64]) -> Estimate {
     let count = values.len();
     let mean = values.iter().sum::<f64>() / count.max(1) as f64;
     if count < 2 {
-        return Figure { mean, low: f64::NEG_INFINITY, high: f64::INFINITY, count };
+        return Estimate { mean, low: f64::NEG_INFINITY, high: f64::INFINITY, count };
     }
     let mut rng = stream(0, Stream::Policy, count as u64);
-    let mut means: Vec<f64> = (0..RESAMPLES)
+    let mut means: Vec<f64> = (0..BOOTSTRAP_RESAMPLES)
         .map(|_| (0..count).map(|_| values[rng.random_range(0..count)]).sum::<f64>() / count as f64)
         .collect();
     means.sort_by(f64::total_cmp);
-    Figure { mean, low: means[RESAMPLES / 40], high: means[RESAMPLES - 1 - RESAMPLES / 40], count }
+    Estimate {
+        mean,
+        low: means[BOOTSTRAP_RESAMPLES / 40],
+        high: means[BOOTSTRAP_RESAMPLES - 1 - BOOTSTRAP_RESAMPLES / 40],
+        count,
+    }
 }
 
 /// What changed from one set of reports to another, seed by seed.
 ///
 /// # Errors
 /// The seeds of the two are not the same.
-pub fn compare(before: &[Report], after: &[Report], of: impl Fn(&Report) -> f64) -> Result<Figure, Unpaired> {
+pub fn compare(
+    before: &[Report],
+    after: &[Report],
+    of: impl Fn(&Report) -> f64,
+) -> Result<Estimate, SeedMismatch> {
     let seeds = |reports: &[Report]| reports.iter().map(|report| report.seed).collect::<Vec<_>>();
     let (a, b) = (seeds(before), seeds(after));
     if a != b || a.is_empty() {
-        return Err(Unpaired { before: a.len(), after: b.len() });
+        return Err(SeedMismatch { before: a.len(), after: b.len() });
     }
     let differences: Vec<f64> = before.iter().zip(after).map(|(a, b)| of(b) - of(a)).collect();
-    Ok(figure(&differences))
+    Ok(estimate(&differences))
 }
 
 /// Two sets that were not played at the same seeds.
@@ -106,7 +119,7 @@
 #[error(
     "found {before} and {after} reports, expected the same seeds in both: a difference is taken seed by seed"
 )]
-pub struct Unpaired {
+pub struct SeedMismatch {
     /// Reports in the first.
     pub before: usize,
     /// Reports in the second.
@@ -119,11 +132,11 @@
 
     #[test]
     fn an_interval_holds_the_mean_and_narrows() {
-        let few = figure(&[0.1, 0.3, 0.2, 0.4]);
-        let many = figure(&[0.1, 0.3, 0.2, 0.4].repeat(20));
+        let few = estimate(&[0.1, 0.3, 0.2, 0.4]);
+        let many = estimate(&[0.1, 0.3, 0.2, 0.4].repeat(20));
         assert!(few.low < few.mean && few.mean < few.high);
         assert!(many.high - many.low < (few.high - few.low) / 2.0);
-        assert!(many.is_clear() && !figure(&[0.3]).is_clear());
-        assert!(!figure(&[-0.2, 0.2, -0.1, 0.1]).is_clear());
+        assert!(many.excludes_zero() && !estimate(&[0.3]).excludes_zero());
+        assert!(!estimate(&[-0.2, 0.2, -0.1, 0.1]).excludes_zero());
     }
 }
--- a/crates/emulator/src/journal.rs
+++ b/crates/emulator/src/journal.rs
@@ -1,7 +1,7 @@
 //! What the bench has written down: the scores of each day under each program, and what chance alone would do.
 //!
 //! One program on one day has scored 0.25 to 0.86, so a single score says little. This reads every run in the
-//! journal, puts plays of one day by one program together, and says of a change of the score whether the plays
+//! journal, puts runs of one day by one program together, and says of a change of the score whether the plays
 //! support it.
 
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 /// The bound on a fall of the score.
-pub const BOUND: f64 = 0.03;
+pub const SCORE_DROP_BOUND: f64 = 0.03;
 
 /// Why a journal could not be read.
 #[derive(Debug, Error)]
@@ -21,11 +21,11 @@
     Io(PathBuf, std::io::Error),
     /// A file is no entry.
     #[error("{0}: found no entry of the bench: {1}")]
-    Entry(PathBuf, serde_json::Error),
+    Format(PathBuf, serde_json::Error),
 }
 
 #[derive(Debug, Deserialize)]
-struct Raw {
+struct Entry {
     id: String,
     cmd: String,
     #[serde(default)]
@@ -35,7 +35,7 @@
     #[serde(default)]
     figures: BTreeMap<String, serde_json::Value>,
     #[serde(default)]
-    days: Vec<RawDay>,
+    days: Vec<DayEntry>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -44,7 +44,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct RawDay {
+struct DayEntry {
     #[serde(default)]
     name: Option<String>,
     #[serde(default)]
@@ -57,7 +57,7 @@
 
 /// One play of a day.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Play {
+pub struct DayRun {
     /// The run that it belongs to.
     pub run: String,
     /// What was played: the kind and its seed.
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Journal {
     /// Plays of single days and of the days of scores.
-    pub plays: Vec<Play>,
+    pub runs: Vec<DayRun>,
     /// Scores.
     pub totals: Vec<Total>,
 }
@@ -113,14 +113,14 @@
     let mut journal = Journal::default();
     for path in files {
         let text = std::fs::read_to_string(&path).map_err(io(&path))?;
-        let raw: Raw = serde_json::from_str(&text).map_err(|error| JournalError::Entry(path, error))?;
-        journal.take(raw);
+        let raw: Entry = serde_json::from_str(&text).map_err(|error| JournalError::Format(path, error))?;
+        journal.add_entry(raw);
     }
     Ok(journal)
 }
 
 impl Journal {
-    fn take(&mut self, raw: Raw) {
+    fn add_entry(&mut self, raw: Entry) {
         if !raw.cmd.starts_with("real") {
             return;
         }
@@ -134,7 +134,7 @@
             let day_name = format!("{name} {}", day.seed.unwrap_or(0));
             let broken = day.rules.values().filter_map(serde_json::Value::as_u64).sum();
             days.push(day_name.clone());
-            self.plays.push(Play {
+            self.runs.push(DayRun {
                 run: raw.id.clone(),
                 day: day_name,
                 program: program.clone(),
@@ -147,33 +147,33 @@
         }
     }
 
-    /// The plays of each day, and within it of each program, both in the order of their names.
+    /// The runs of each day, and within it of each program, both in the order of their names.
     pub fn by_day(&self) -> BTreeMap<&str, BTreeMap<&str, Vec<f64>>> {
         let mut days: BTreeMap<&str, BTreeMap<&str, Vec<f64>>> = BTreeMap::new();
-        for play in &self.plays {
+        for play in &self.runs {
             days.entry(&play.day).or_default().entry(&play.program).or_default().push(play.score);
         }
         days
     }
 
-    /// How far the plays of a day by one program lie apart, over all programs that played it twice: the deviation.
-    pub fn chance(&self, day: &str) -> Option<f64> {
+    /// How far the runs of a day by one program lie apart, over all programs that played it twice: the deviation.
+    pub fn day_deviation(&self, day: &str) -> Option<f64> {
         let days = self.by_day();
-        let groups: Vec<&Vec<f64>> = days.get(day)?.values().filter(|plays| plays.len() > 1).collect();
-        let free: usize = groups.iter().map(|plays| plays.len() - 1).sum();
-        let squares: f64 = groups.iter().map(|plays| squares(plays)).sum();
+        let groups: Vec<&Vec<f64>> = days.get(day)?.values().filter(|runs| runs.len() > 1).collect();
+        let free: usize = groups.iter().map(|runs| runs.len() - 1).sum();
+        let squares: f64 = groups.iter().map(|runs| squares(runs)).sum();
         (free > 0).then(|| (squares / free as f64).sqrt())
     }
 
     /// What chance does to a score of these days, as a deviation: the site's figure is 0.7 times their mean and 0.3
     /// times the mean of the worst third. Days that were not played twice count with the mean of the others.
-    pub fn chance_of_total(&self, total: &Total) -> Option<f64> {
-        let known: Vec<f64> = total.days.iter().filter_map(|day| self.chance(day)).collect();
+    pub fn total_deviation(&self, total: &Total) -> Option<f64> {
+        let known: Vec<f64> = total.days.iter().filter_map(|day| self.day_deviation(day)).collect();
         if known.is_empty() || total.days.is_empty() {
             return None;
         }
         let usual = known.iter().sum::<f64>() / known.len() as f64;
-        let of = |day: &String| self.chance(day).unwrap_or(usual);
+        let of = |day: &String| self.day_deviation(day).unwrap_or(usual);
         let count = total.days.len() as f64;
         let worst = (count / 3.0).ceil();
         // Any of them may be among the worst third; taken evenly, a day has this weight.
@@ -190,19 +190,19 @@
 }
 
 /// A table of the days, and of the scores with what changed from one to the next.
-pub fn tell(journal: &Journal) -> String {
+pub fn render(journal: &Journal) -> String {
     let mut text =
         String::from("day                                  program         plays   mean  least   most\n");
     for (day, programs) in journal.by_day() {
-        for (program, plays) in programs {
-            let mean = plays.iter().sum::<f64>() / plays.len() as f64;
-            let least = plays.iter().copied().fold(f64::INFINITY, f64::min);
-            let most = plays.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-            let count = plays.len();
+        for (program, runs) in programs {
+            let mean = runs.iter().sum::<f64>() / runs.len() as f64;
+            let least = runs.iter().copied().fold(f64::INFINITY, f64::min);
+            let most = runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+            let count = runs.len();
             text.push_str(&format!("{day:<36} {program:<15} {count:>5}  {mean:.3}  {least:.3}  {most:.3}\n"));
         }
-        if let Some(chance) = journal.chance(day) {
-            text.push_str(&format!("{day:<36} {:<15} deviation of one program's plays {chance:.3}\n", ""));
+        if let Some(chance) = journal.day_deviation(day) {
+            text.push_str(&format!("{day:<36} {:<15} deviation of one program's runs {chance:.3}\n", ""));
         }
     }
     text.push_str("\nscore      program          days  score  change\n");
@@ -212,9 +212,9 @@
         let earlier = last.filter(|last| last.days.len() == total.days.len());
         let verdict = earlier.map_or_else(String::new, |earlier| {
             let change = total.score - earlier.score;
-            let chance = journal.chance_of_total(total).map(|one| one * std::f64::consts::SQRT_2);
+            let chance = journal.total_deviation(total).map(|one| one * std::f64::consts::SQRT_2);
             let told = match chance {
-                _ if change >= -BOUND => String::new(),
+                _ if change >= -SCORE_DROP_BOUND => String::new(),
                 Some(chance) if change.abs() < 2.0 * chance => {
                     format!(
                         ": below the bound, within chance ({:.3} is two deviations): play it again",
@@ -235,7 +235,7 @@
         ));
         last = Some(total);
     }
-    let broken: Vec<&Play> = journal.plays.iter().filter(|play| play.broken > 0).collect();
+    let broken: Vec<&DayRun> = journal.runs.iter().filter(|play| play.broken > 0).collect();
     text.push_str(&format!("\nplays with a broken rule: {}\n", broken.len()));
     for play in broken {
         text.push_str(&format!("  {} {} {}\n", play.run, play.day, play.program));
@@ -247,12 +247,12 @@
 mod tests {
     use super::*;
 
-    fn journal(totals: &[f64], plays: &[(&str, &str, f64)]) -> Journal {
+    fn journal(totals: &[f64], runs: &[(&str, &str, f64)]) -> Journal {
         let day = "rude 1".to_owned();
         Journal {
-            plays: plays
+            runs: runs
                 .iter()
-                .map(|(day, program, score)| Play {
+                .map(|(day, program, score)| DayRun {
                     run: "r".into(),
                     day: (*day).into(),
                     program: (*program).into(),
@@ -276,18 +276,18 @@
     fn a_fall_is_told_with_what_chance_would_do() {
         let wide = [("rude 1", "p", 0.25), ("rude 1", "p", 0.86)];
         let narrow = [("rude 1", "p", 0.80), ("rude 1", "p", 0.81)];
-        assert!(tell(&journal(&[0.74, 0.68], &wide)).contains("within chance"));
-        assert!(tell(&journal(&[0.74, 0.68], &narrow)).contains("beyond chance"));
-        assert!(!tell(&journal(&[0.74, 0.72], &narrow)).contains("below the bound"));
-        assert!(tell(&journal(&[0.74, 0.68], &[])).contains("not known"));
+        assert!(render(&journal(&[0.74, 0.68], &wide)).contains("within chance"));
+        assert!(render(&journal(&[0.74, 0.68], &narrow)).contains("beyond chance"));
+        assert!(!render(&journal(&[0.74, 0.72], &narrow)).contains("below the bound"));
+        assert!(render(&journal(&[0.74, 0.68], &[])).contains("not known"));
     }
 
     #[test]
     fn plays_of_different_programs_do_not_count_as_chance() {
         let apart = [("rude 1", "old", 0.8), ("rude 1", "new", 0.2)];
-        assert_eq!(journal(&[], &apart).chance("rude 1"), None);
+        assert_eq!(journal(&[], &apart).day_deviation("rude 1"), None);
         let both =
             [("rude 1", "old", 0.8), ("rude 1", "old", 0.8), ("rude 1", "new", 0.2), ("rude 1", "new", 0.2)];
-        assert_eq!(journal(&[], &both).chance("rude 1"), Some(0.0));
+        assert_eq!(journal(&[], &both).day_deviation("rude 1"), Some(0.0));
     }
 }
--- a/crates/emulator/src/model/draw.rs
+++ b/crates/emulator/src/model/draw.rs
@@ -53,7 +53,7 @@
     let (swing, every) = (s.get("clients.swing"), s.span("clients.swing-every").secs());
     let zipf = Zipf::new(s.get("clients.keys"), s.get("clients.skew")).ok();
     let shares: f64 = s.classes.iter().map(|class| class.get("share")).sum();
-    let sizes: Vec<Vec<(f64, f64)>> = s.classes.iter().map(|class| class.sizes()).collect();
+    let sizes: Vec<Vec<(f64, f64)>> = s.classes.iter().map(|class| class.slot_sizes()).collect();
     let works: Vec<LogNormal<f64>> = s.classes.iter().map(|c| unit_log_normal(c.get("spread"))).collect();
     let most = rate * (1.0 + swing);
     let (mut all, mut at) = (Vec::new(), 0.0);
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -27,10 +27,10 @@
 pub use worker::{Begins, Job, Make, Order, Worker};
 
 use crate::check::{Checker, Figures, Rule, RULES};
-use crate::policy::{Kind, Policy, SharedTruth, Way};
-use crate::report::{spread, Asked, ClassReport, Report, Score};
+use crate::policy::{Baseline, Policy, PolicyKind, SharedGroundTruth};
+use crate::report::{coefficient_of_variation, ClassReport, JobResult, Report, Score};
 use crate::rng::{stream, Stream};
-use crate::scenario::{Incident, Scenario, Trouble};
+use crate::scenario::{Incident, IncidentKind, Scenario};
 use fleet::{Machine, Seat};
 
 /// How often a cold log worker's speed is taken anew, and the truth brought up to date.
@@ -139,7 +139,7 @@
     /// Attempts of a try that is under way at a dispatcher, by the try's id.
     open: BTreeMap<u64, Vec<usize>>,
     checker: Checker,
-    truth: SharedTruth,
+    truth: SharedGroundTruth,
     /// Somebody looks at it.
     sees_truth: bool,
     clients: SmallRng,
@@ -195,9 +195,9 @@
         quantum: s.span("tick"),
         limits: Limits {
             cancel: true,
-            probes: s.on("limits.probes"),
-            second_copies: s.on("limits.second-copies"),
-            retry_after: s.on("limits.advice"),
+            probes: s.is_on("limits.probes"),
+            second_copies: s.is_on("limits.second-copies"),
+            retry_after: s.is_on("limits.advice"),
             max_retry_after: Span(2_000_000),
             max_attempts: s.count("limits.attempts"),
         },
@@ -221,16 +221,16 @@
 ///
 /// # Errors
 /// The scenario's settings make no sense to the decisions.
-pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Report, SettingsError> {
+pub fn play(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Result<Report, SettingsError> {
     let mut day = Day::new(scenario, kind, seed)?;
     day.run();
     Ok(day.report(kind, seed))
 }
 
 impl Day {
-    fn new(s: &Scenario, kind: Kind, seed: u64) -> Result<Self, SettingsError> {
+    fn new(s: &Scenario, kind: PolicyKind, seed: u64) -> Result<Self, SettingsError> {
         let (workers, dispatchers, zones) = (s.count("workers"), s.count("dispatchers"), s.count("zones"));
-        let truth = SharedTruth::default();
+        let truth = SharedGroundTruth::default();
         let mut all: Vec<Box<dyn Policy>> = Vec::new();
         for number in 0..dispatchers {
             let own_seed = stream(seed, Stream::Policy, number as u64).random();
@@ -262,10 +262,10 @@
                 drain_grace: s.span("rules.drain-grace"),
                 fall_multiple: s.get("rules.fall-multiple"),
                 fall_span: s.span("rules.fall-span"),
-                alone: !s.on("limits.second-copies"),
+                alone: !s.is_on("limits.second-copies"),
             }),
             truth: Rc::clone(&truth),
-            sees_truth: kind == Kind::Plain(Way::Top),
+            sees_truth: kind == PolicyKind::Baseline(Baseline::Top),
             clients: stream(seed, Stream::Clients, 0),
             network: stream(seed, Stream::Network, 0),
             discovery_rng: stream(seed, Stream::Discovery, 0),
@@ -520,7 +520,7 @@
         if harmless && one.tries <= self.s.count("clients.retries") && self.now < self.end {
             self.counts.retries += 1;
             let wait = self.s.get("clients.back-off") * (0.5 + self.retry_rng.random::<f64>());
-            let advice = advice.filter(|_| self.s.on("clients.heeds-advice")).unwrap_or(Span(0));
+            let advice = advice.filter(|_| self.s.is_on("clients.heeds-advice")).unwrap_or(Span(0));
             let wait = Span::from_ms(wait).max(advice) + way + way;
             self.after(wait, What::Arrive(call));
         } else {
@@ -616,7 +616,7 @@
                 self.wake(seat, at.max(self.now + Span(1)));
             }
             Action::Probe(worker) => {
-                if let Some(worker) = self.place(&worker).filter(|_| self.s.on("limits.probes")) {
+                if let Some(worker) = self.place(&worker).filter(|_| self.s.is_on("limits.probes")) {
                     self.counts.probes += 1;
                     let way = self.way(seat, worker);
                     self.after(way, What::ProbeReach(seat, worker));
@@ -740,7 +740,7 @@
         let machine = &mut self.machines[worker];
         machine.worker.advance(now);
         let job = Job { attempt, slots, work, key, worth: self.s.classes[class].get("worth") };
-        if machine.draining && self.s.on("worker.hands-back") || !machine.worker.take(job) {
+        if machine.draining && self.s.is_on("worker.hands-back") || !machine.worker.take(job) {
             self.counts.turned_away += 1;
             let way = self.way(seat, worker);
             return self.after(way, What::Ended(attempt, Outcome::TurnedAway));
@@ -883,7 +883,7 @@
             return;
         }
         machine.worker.advance(self.now);
-        if machine.worker.drop_job(attempt, self.s.on("worker.cancels-running")) {
+        if machine.worker.drop_job(attempt, self.s.is_on("worker.cancels-running")) {
             self.attempts[attempt].held = false;
             self.store.advance(self.now);
             self.store.forget(worker, Some(attempt));
@@ -1028,14 +1028,14 @@
         let now = self.now;
         let mut truth = self.truth.borrow_mut();
         truth.backlog = self.machines.iter().map(|machine| machine.worker.backlog(now)).collect();
-        truth.takes =
+        truth.accepts_work =
             self.machines.iter().map(|m| m.up && !m.silent && !m.draining && !m.worker.paused).collect();
-        truth.bears = self
+        truth.slow_start_budget = self
             .machines
             .iter()
             .map(|m| m.worker.is_cold(now).then(|| self.s.get("rules.fall-multiple") * m.worker.nominal(now)))
             .collect();
-        truth.keeps = self.machines.iter().map(|m| m.worker.archives().to_vec()).collect();
+        truth.archives = self.machines.iter().map(|m| m.worker.archives().to_vec()).collect();
     }
 
     fn reset_some(&mut self) {
@@ -1103,7 +1103,7 @@
         }
         self.machines[worker].draining = true;
         self.after(self.s.span("discovery.notices"), What::Notice(worker, Seen::Draining));
-        if self.s.on("worker.hands-back") {
+        if self.s.is_on("worker.hands-back") {
             self.machines[worker].worker.advance(self.now);
             for job in self.machines[worker].worker.hand_back() {
                 let attempt = &mut self.attempts[job.attempt];
@@ -1130,13 +1130,14 @@
 
     fn begin_incident(&mut self, number: usize) {
         let incident = self.s.incidents[number];
-        let of = if incident.trouble == Trouble::HostPause { self.seats.len() } else { self.machines.len() };
+        let of =
+            if incident.kind == IncidentKind::HostPause { self.seats.len() } else { self.machines.len() };
         let all = hit(self.seed, number, incident.part, of);
         self.hit[number] = all.clone();
         let Incident { size, length, .. } = incident;
-        match incident.trouble {
-            Trouble::Crash | Trouble::Silent => {
-                let silent = incident.trouble == Trouble::Silent;
+        match incident.kind {
+            IncidentKind::Crash | IncidentKind::Silent => {
+                let silent = incident.kind == IncidentKind::Silent;
                 let notices = if silent { "discovery.notices-silence" } else { "discovery.notices" };
                 for worker in all.into_iter().filter(|worker| self.machines[*worker].up).collect::<Vec<_>>() {
                     self.stop(worker, silent);
@@ -1145,7 +1146,7 @@
                 }
                 return;
             }
-            Trouble::Rolling => {
+            IncidentKind::Rolling => {
                 let step = Span(length.0 / all.len().max(1) as i64);
                 for (turn, worker) in all.into_iter().enumerate() {
                     let at = Span(step.0 * turn as i64);
@@ -1154,20 +1155,20 @@
                 }
                 return;
             }
-            Trouble::Slow => self.each(number, |machine| machine.worker.slow *= size.max(1e-3)),
-            Trouble::Neighbour => self.toggle(number, true),
+            IncidentKind::Slow => self.each(number, |machine| machine.worker.slow *= size.max(1e-3)),
+            IncidentKind::Neighbour => self.toggle(number, true),
             // Scripts with these are not read for this stage.
-            Trouble::DiscoverySilent
-            | Trouble::DiscoveryOld
-            | Trouble::Slowed
-            | Trouble::Kill
-            | Trouble::Restart => return,
-            Trouble::Pause => self.each(number, |machine| machine.worker.paused = true),
-            Trouble::ReportsLate => self.late_reports = self.late_reports + size_span(size),
-            Trouble::Resets => self.resets += size,
-            Trouble::ZoneCut => self.cut += 1,
-            Trouble::Costly => self.make_costly(incident),
-            Trouble::DiscoveryGone => {
+            IncidentKind::DiscoverySilent
+            | IncidentKind::DiscoveryOld
+            | IncidentKind::Slowed
+            | IncidentKind::Kill
+            | IncidentKind::Restart => return,
+            IncidentKind::Pause => self.each(number, |machine| machine.worker.paused = true),
+            IncidentKind::ReportsLate => self.late_reports = self.late_reports + size_span(size),
+            IncidentKind::Resets => self.resets += size,
+            IncidentKind::ZoneCut => self.cut += 1,
+            IncidentKind::Costly => self.make_costly(incident),
+            IncidentKind::DiscoveryGone => {
                 self.discovery_gone += 1;
                 for seat in 0..self.seats.len() {
                     if std::mem::take(&mut self.seats[seat].subscribed) {
@@ -1175,7 +1176,7 @@
                     }
                 }
             }
-            Trouble::HostPause => {
+            IncidentKind::HostPause => {
                 for seat in all {
                     self.seats[seat].paused = true;
                     self.seats[seat].paused_until = self.now + length;
@@ -1217,41 +1218,41 @@
     }
 
     fn finish_incident(&mut self, number: usize) {
-        let Incident { trouble, size, .. } = self.s.incidents[number];
-        match trouble {
-            Trouble::Slow => self.each(number, |machine| machine.worker.slow /= size.max(1e-3)),
-            Trouble::Pause => self.each(number, |machine| machine.worker.paused = false),
-            Trouble::ReportsLate => self.late_reports = self.late_reports - size_span(size),
-            Trouble::Resets => self.resets = (self.resets - size).max(0.0),
-            Trouble::ZoneCut => self.cut -= 1,
-            Trouble::DiscoveryGone => self.discovery_gone -= 1,
-            Trouble::HostPause => {
+        let Incident { kind, size, .. } = self.s.incidents[number];
+        match kind {
+            IncidentKind::Slow => self.each(number, |machine| machine.worker.slow /= size.max(1e-3)),
+            IncidentKind::Pause => self.each(number, |machine| machine.worker.paused = false),
+            IncidentKind::ReportsLate => self.late_reports = self.late_reports - size_span(size),
+            IncidentKind::Resets => self.resets = (self.resets - size).max(0.0),
+            IncidentKind::ZoneCut => self.cut -= 1,
+            IncidentKind::DiscoveryGone => self.discovery_gone -= 1,
+            IncidentKind::HostPause => {
                 for seat in self.hit[number].clone() {
                     self.seats[seat].paused = false;
                     self.wake(seat, self.now);
                 }
             }
-            Trouble::Neighbour => self.toggle(number, false),
-            Trouble::Crash | Trouble::Silent | Trouble::Rolling | Trouble::Costly => {}
-            Trouble::DiscoverySilent
-            | Trouble::DiscoveryOld
-            | Trouble::Slowed
-            | Trouble::Kill
-            | Trouble::Restart => {}
+            IncidentKind::Neighbour => self.toggle(number, false),
+            IncidentKind::Crash | IncidentKind::Silent | IncidentKind::Rolling | IncidentKind::Costly => {}
+            IncidentKind::DiscoverySilent
+            | IncidentKind::DiscoveryOld
+            | IncidentKind::Slowed
+            | IncidentKind::Kill
+            | IncidentKind::Restart => {}
         }
     }
 
     // The figures.
 
-    fn report(&self, kind: Kind, seed: u64) -> Report {
+    fn report(&self, kind: PolicyKind, seed: u64) -> Report {
         let mut in_time = vec![false; self.calls.len()];
         for (call, _, timely, _) in &self.served {
             in_time[*call] = *timely;
         }
         let asked = self.calls.iter().zip(in_time);
-        let asked: Vec<Asked> =
-            asked.map(|(call, in_time)| Asked { class: call.class, at: call.asked, in_time }).collect();
-        let score = Score::of(&self.s, &asked);
+        let asked: Vec<JobResult> =
+            asked.map(|(call, in_time)| JobResult { class: call.class, at: call.asked, in_time }).collect();
+        let score = Score::from_jobs(&self.s, &asked);
         let classes = self.s.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
             jobs: asked.iter().filter(|job| job.class == class).count(),
@@ -1287,7 +1288,9 @@
             mean_ms: self.latency.mean() / 1000.0,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
-            spread: spread(&self.machines.iter().map(|m| m.worker.worked).collect::<Vec<_>>()),
+            spread: coefficient_of_variation(
+                &self.machines.iter().map(|m| m.worker.worked).collect::<Vec<_>>(),
+            ),
             rules: broken,
             first_broken: self.checker.sentences().to_vec(),
         }
--- a/crates/emulator/src/paper.rs
+++ b/crates/emulator/src/paper.rs
@@ -7,17 +7,17 @@
 
 use rookspoke_conf::Problem;
 
-use crate::experiment::set;
-use crate::policy::{Kind, Way};
+use crate::experiment::set_parameter;
+use crate::policy::{Baseline, PolicyKind};
 use crate::scenario::Scenario;
 
 /// The policies of the experiment.
-pub const POLICIES: [Kind; 5] = [
-    Kind::Ours,
-    Kind::Plain(Way::RoundRobin),
-    Kind::Plain(Way::LeastLoaded),
-    Kind::Plain(Way::BoundedLoads),
-    Kind::Plain(Way::Pasch),
+pub const POLICIES: [PolicyKind; 5] = [
+    PolicyKind::Ours,
+    PolicyKind::Baseline(Baseline::RoundRobin),
+    PolicyKind::Baseline(Baseline::LeastLoaded),
+    PolicyKind::Baseline(Baseline::BoundedLoads),
+    PolicyKind::Baseline(Baseline::Pasch),
 ];
 
 /// Applications that a worker keeps: many, as in the paper's first experiment (P1, a cache of limited size), and two,
@@ -48,8 +48,8 @@
         ("log-lookup.work", "500ms"),
         ("log-lookup.aim", "2s"),
     ] {
-        set(&mut scenario, name, value)?;
+        set_parameter(&mut scenario, name, value)?;
     }
-    set(&mut scenario, "worker.archives", &kept.to_string())?;
+    set_parameter(&mut scenario, "worker.archives", &kept.to_string())?;
     Ok(scenario)
 }
--- a/crates/emulator/src/plot.rs
+++ b/crates/emulator/src/plot.rs
@@ -6,9 +6,9 @@
 use plotters::prelude::*;
 use thiserror::Error;
 
-use crate::experiment::figure;
+use crate::experiment::estimate;
 use crate::report::Report;
-use crate::scenario::{Incident, Scenario, TROUBLES};
+use crate::scenario::{Incident, Scenario, INCIDENT_KINDS};
 
 /// A drawing that failed.
 #[derive(Debug, Error)]
@@ -16,7 +16,7 @@
 pub struct PlotError(String, String);
 
 /// A line of a plot.
-pub struct Line {
+pub struct Series {
     /// What it shows.
     pub name: String,
     /// Its points.
@@ -29,10 +29,10 @@
 ///
 /// # Errors
 /// The drawing library says why it could not.
-pub fn lines(
+pub fn line_plot(
     title: &str,
     axes: (&str, &str),
-    lines: &[Line],
+    lines: &[Series],
     shades: &[(f64, f64)],
 ) -> Result<String, PlotError> {
     let mut svg = String::new();
@@ -43,7 +43,7 @@
 fn draw(
     svg: &mut String,
     (x_name, y_name): (&str, &str),
-    lines: &[Line],
+    lines: &[Series],
     shades: &[(f64, f64)],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let points = || lines.iter().flat_map(|line| &line.points);
@@ -84,9 +84,9 @@
 /// Service over time, a line for each policy: the mean of the seeds.
 ///
 /// # Errors
-/// As [`lines`].
-pub fn service(scenario: &Scenario, reports: &[Report]) -> Result<String, PlotError> {
-    let policy_lines: Vec<Line> = reports
+/// As [`line_plot`].
+pub fn service_plot(scenario: &Scenario, reports: &[Report]) -> Result<String, PlotError> {
+    let policy_lines: Vec<Series> = reports
         .chunk_by(|a, b| a.policy == b.policy)
         .map(|of| {
             let mut sums: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
@@ -95,13 +95,13 @@
                 *sum = (sum.0 + window.service, sum.1 + 1.0);
             }
             let points = sums.into_iter().map(|(from, (sum, count))| (from as f64, sum / count));
-            Line { name: of[0].policy.clone(), points: points.collect() }
+            Series { name: of[0].policy.clone(), points: points.collect() }
         })
         .collect();
     let shade = |i: &Incident| (i.at.secs(), (i.at.secs() + i.length.secs()));
     let shades: Vec<(f64, f64)> = scenario.incidents.iter().map(shade).collect();
     let axes = ("start of the window, s", "worth answered in time");
-    lines("service over time", axes, &policy_lines, &shades)
+    line_plot("service over time", axes, &policy_lines, &shades)
 }
 
 fn escape(text: impl Display) -> String {
@@ -111,12 +111,12 @@
 /// The page. It is one file, with no scripts and nothing from elsewhere.
 ///
 /// # Errors
-/// As [`lines`].
-pub fn page(title: &str, scenario: &Scenario, reports: &[Report]) -> Result<String, PlotError> {
+/// As [`line_plot`].
+pub fn html_report(title: &str, scenario: &Scenario, reports: &[Report]) -> Result<String, PlotError> {
     let mut rows = String::new();
     for of in reports.chunk_by(|a, b| a.policy == b.policy) {
         let mean = |get: &dyn Fn(&Report) -> f64| of.iter().map(get).sum::<f64>() / of.len() as f64;
-        let service = figure(&of.iter().map(|r| r.service).collect::<Vec<_>>());
+        let service = estimate(&of.iter().map(|r| r.service).collect::<Vec<_>>());
         let broken: u64 = of.iter().flat_map(|r| r.rules.values()).sum();
         let cells = [
             escape(&of[0].policy),
@@ -138,13 +138,13 @@
         .incidents
         .iter()
         .map(|i| {
-            let name = TROUBLES.iter().find(|(_, t)| *t == i.trouble).map_or("?", |(name, _)| name);
+            let name = INCIDENT_KINDS.iter().find(|(_, t)| *t == i.kind).map_or("?", |(name, _)| name);
             let (at, length) = (i.at.secs(), i.length.secs());
             format!("<li>{name}: at {at} s for {length} s, part {}, size {}</li>\n", i.part, i.size)
         })
         .collect();
     let seeds = reports.chunk_by(|a, b| a.policy == b.policy).next().map_or(0, <[Report]>::len);
-    let plot = service(scenario, reports)?;
+    let plot = service_plot(scenario, reports)?;
     Ok(format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title>\n<style>\n\
          body {{ font: 15px/1.5 sans-serif; max-width: 900px; margin: 2em auto; color: #222 }}\n\
--- a/crates/emulator/src/policy/simple.rs
+++ b/crates/emulator/src/policy/baseline.rs
@@ -12,11 +12,11 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Policy, SharedTruth};
+use super::{Policy, SharedGroundTruth};
 
 /// How a log worker is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum Baseline {
     /// Any.
     Random,
     /// In turn.
@@ -74,11 +74,11 @@
 }
 
 /// A textbook policy.
-pub struct Simple {
-    way: Way,
+pub struct BaselinePolicy {
+    way: Baseline,
     s: Settings,
     rng: SmallRng,
-    truth: SharedTruth,
+    truth: SharedGroundTruth,
     workers: Vec<Worker>,
     places: BTreeMap<Name, usize>,
     jobs: BTreeMap<RequestId, Job>,
@@ -89,11 +89,11 @@
     armed: Option<Time>,
 }
 
-impl Simple {
+impl BaselinePolicy {
     /// One that knows nothing yet.
-    pub fn new(way: Way, s: Settings, mut rng: SmallRng, truth: SharedTruth) -> Self {
+    pub fn new(way: Baseline, s: Settings, mut rng: SmallRng, truth: SharedGroundTruth) -> Self {
         let first = rng.random_range(0..=s.rules.ask_every.0.max(4) / 4);
-        Simple {
+        BaselinePolicy {
             way,
             s,
             rng,
@@ -182,49 +182,50 @@
         let key = job.request.key.as_deref().unwrap_or_default();
         let rank = |place: &usize| xxh3_64_with_seed(key.as_bytes(), self.workers[*place].hash);
         match self.way {
-            Way::Random => Some(fits[self.rng.random_range(0..fits.len())]),
-            Way::RoundRobin => {
+            Baseline::Random => Some(fits[self.rng.random_range(0..fits.len())]),
+            Baseline::RoundRobin => {
                 self.turn += 1;
                 Some(fits[self.turn % fits.len()])
             }
-            Way::LeastLoaded => {
+            Baseline::LeastLoaded => {
                 // Ties are broken by a draw, or all would go to the first.
                 let fewest = fits.iter().map(own).fold(f64::INFINITY, f64::min);
                 let equal: Vec<usize> = fits.into_iter().filter(|place| own(place) <= fewest).collect();
                 Some(equal[self.rng.random_range(0..equal.len())])
             }
-            Way::TwoChoices => {
+            Baseline::TwoChoices => {
                 let two = [(); 2].map(|()| fits[self.rng.random_range(0..fits.len())]);
                 least(&two)
             }
-            Way::Rendezvous => fits.into_iter().min_by_key(rank),
-            Way::BoundedLoads => {
+            Baseline::Rendezvous => fits.into_iter().min_by_key(rank),
+            Baseline::BoundedLoads => {
                 let mean = (fits.iter().map(own).sum::<f64>() + job.request.slots) / fits.len() as f64;
                 let mut order = fits.clone();
                 order.sort_by_key(rank);
                 let room = |place: &usize| own(place) + job.request.slots <= (BOUND * mean).ceil();
                 order.iter().copied().find(room).or_else(|| least(&fits))
             }
-            Way::Pasch => {
+            Baseline::Pasch => {
                 let mut order = fits.clone();
                 order.sort_by_key(rank);
                 order.truncate(2);
                 least(&order).filter(|place| own(place) < THRESHOLD).or_else(|| least(&fits))
             }
-            Way::Top => {
+            Baseline::Top => {
                 let truth = self.truth.borrow();
                 let key = key.strip_prefix('k').and_then(|key| key.parse::<u64>().ok());
                 let wait = |place: &usize| {
                     let number = self.workers[*place].number;
                     let fetch =
-                        !key.is_some_and(|key| truth.keeps.get(number).is_some_and(|k| k.contains(&key)));
+                        !key.is_some_and(|key| truth.archives.get(number).is_some_and(|k| k.contains(&key)));
                     let backlog = truth.backlog.get(number).copied().unwrap_or(f64::INFINITY);
                     backlog + if fetch { 0.4 } else { 0.0 }
                 };
                 let takes = |place: &usize| {
                     let number = self.workers[*place].number;
-                    let bears = truth.bears.get(number).copied().flatten();
-                    truth.takes.get(number).copied().unwrap_or(false) && bears.is_none_or(|left| left > 4.0)
+                    let bears = truth.slow_start_budget.get(number).copied().flatten();
+                    truth.accepts_work.get(number).copied().unwrap_or(false)
+                        && bears.is_none_or(|left| left > 4.0)
                 };
                 let fits = fits.into_iter().filter(takes);
                 fits.min_by(|a, b| wait(a).total_cmp(&wait(b)).then(a.cmp(b)))
@@ -282,7 +283,7 @@
     }
 }
 
-impl Policy for Simple {
+impl Policy for BaselinePolicy {
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             // An emulated fleet has no operators.
--- a/crates/emulator/src/policy/bad.rs
+++ b/crates/emulator/src/policy/faulty.rs
@@ -7,19 +7,19 @@
     Action, Dispatcher, Effect, Event, Outcome, Readiness, RequestId, Settings, SettingsError, Span, Time,
 };
 
-use super::{Policy, SharedTruth, Simple, Way};
+use super::{Baseline, BaselinePolicy, Policy, SharedGroundTruth};
 
 /// A fault, and the rule that it breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// One answer in ten is forgotten.
-    Silent,
+    LosesAnswers,
     /// An attempt that broke is repeated, whatever the class.
-    Twice,
+    RepeatsUnsafe,
     /// Drains are not heard of.
-    Drain,
+    IgnoresDrain,
     /// Starts are not heard of: a cold log worker is the idlest of all, and gets everything.
-    Cold,
+    IgnoresSlowStart,
 }
 
 /// A policy with this fault.
@@ -28,25 +28,25 @@
     settings: &Settings,
     seed: u64,
     rng: SmallRng,
-    truth: &SharedTruth,
+    truth: &SharedGroundTruth,
 ) -> Result<Box<dyn Policy>, SettingsError> {
     let mut settings = settings.clone();
     Ok(match fault {
-        Fault::Silent => Box::new(Forgets {
+        Fault::LosesAnswers => Box::new(Forgets {
             inner: Dispatcher::new(settings, seed)?,
             answers: 0,
             forgotten: BTreeSet::new(),
         }),
-        Fault::Twice => {
+        Fault::RepeatsUnsafe => {
             settings.classes.iter_mut().for_each(|class| class.effect = Effect::Safe);
             // Copies would break the rule on calm days too; it is to be the repeat after a break.
             settings.limits.second_copies = false;
             Box::new(Dispatcher::new(settings, seed)?)
         }
-        Fault::Drain => Box::new(Deaf { inner: Dispatcher::new(settings, seed)? }),
-        Fault::Cold => {
+        Fault::IgnoresDrain => Box::new(Deaf { inner: Dispatcher::new(settings, seed)? }),
+        Fault::IgnoresSlowStart => {
             settings.rules.ramp = Span(0);
-            Box::new(Simple::new(Way::LeastLoaded, settings, rng, truth.clone()))
+            Box::new(BaselinePolicy::new(Baseline::LeastLoaded, settings, rng, truth.clone()))
         }
     })
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -31,7 +31,7 @@
 
 /// A job that was asked for, and whether it was answered in time.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct JobResult {
     /// Its class, by its place in the scenario.
     pub class: usize,
     /// When its client first meant to send it.
@@ -59,8 +59,8 @@
 
 impl Score {
     /// The figures of a run: worth answered in time over worth asked for.
-    pub fn of(s: &Scenario, jobs: &[Asked]) -> Self {
-        let part = |of: &dyn Fn(&Asked) -> bool| {
+    pub fn from_jobs(s: &Scenario, jobs: &[JobResult]) -> Self {
+        let part = |of: &dyn Fn(&JobResult) -> bool| {
             let of = jobs.iter().filter(|job| of(job));
             let (asked, got) = of.fold((0.0, 0.0), |(asked, got), job| {
                 let worth = s.classes[job.class].get("worth");
@@ -78,13 +78,13 @@
         let windows: Vec<Window> = (0..=seconds)
             .map(|second| {
                 let from = Time(second * 1_000_000);
-                let within = |job: &Asked| job.at >= from && job.at < from + length;
+                let within = |job: &JobResult| job.at >= from && job.at < from + length;
                 Window { from_s: second as f64, service: part(&within) }
             })
             .collect();
         let worst_window = windows.iter().map(|w| w.service).fold(1.0, f64::min);
         let classes: Vec<f64> =
-            (0..s.classes.len()).map(|class| part(&|job: &Asked| job.class == class)).collect();
+            (0..s.classes.len()).map(|class| part(&|job: &JobResult| job.class == class)).collect();
         let worst_class = classes.iter().copied().fold(1.0, f64::min);
         let goal = |name: &str| s.get(name);
         let weights = goal("goal.whole") + goal("goal.window") + goal("goal.class");
@@ -169,7 +169,7 @@
 }
 
 /// How unevenly something is spread: deviation over mean.
-pub fn spread(values: &[f64]) -> f64 {
+pub fn coefficient_of_variation(values: &[f64]) -> f64 {
     let count = values.len().max(1) as f64;
     let mean = values.iter().sum::<f64>() / count;
     let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / count;
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -35,11 +35,11 @@
 const SWITCH: Kind = Kind::Switch;
 
 /// When an incident begins, or for how long it goes on.
-pub(crate) const TIME_OF_DAY: Kind = TIME;
+pub(crate) const INCIDENT_TIME: Kind = TIME;
 /// The part of the fleet that it hits.
-pub(crate) const PART_OF: Kind = PART;
+pub(crate) const INCIDENT_PART: Kind = PART;
 /// How bad it is.
-pub(crate) const SIZE_OF: Kind = number(0.0, 1e6);
+pub(crate) const INCIDENT_SIZE: Kind = number(0.0, 1e6);
 
 /// All parameters.
 pub const PARAMS: &[Param] = &[
@@ -173,7 +173,7 @@
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum IncidentKind {
     /// Processes die: connections are reset. They come back cold.
     Crash,
     /// Machines fall silent: nothing is refused, nothing answers. They come back cold.
@@ -211,59 +211,59 @@
 }
 
 /// Every trouble by its name in scripts.
-pub const TROUBLES: &[(&str, Trouble)] = &[
-    ("crash", Trouble::Crash),
-    ("silent", Trouble::Silent),
-    ("slow", Trouble::Slow),
-    ("neighbour", Trouble::Neighbour),
-    ("reports-late", Trouble::ReportsLate),
-    ("costly", Trouble::Costly),
-    ("resets", Trouble::Resets),
-    ("zone-cut", Trouble::ZoneCut),
-    ("discovery-gone", Trouble::DiscoveryGone),
-    ("rolling", Trouble::Rolling),
-    ("pause", Trouble::Pause),
-    ("stall", Trouble::HostPause),
-    ("host-pause", Trouble::HostPause),
-    ("discovery-silent", Trouble::DiscoverySilent),
-    ("discovery-old", Trouble::DiscoveryOld),
-    ("slowed", Trouble::Slowed),
-    ("kill", Trouble::Kill),
-    ("restart", Trouble::Restart),
+pub const INCIDENT_KINDS: &[(&str, IncidentKind)] = &[
+    ("crash", IncidentKind::Crash),
+    ("silent", IncidentKind::Silent),
+    ("slow", IncidentKind::Slow),
+    ("neighbour", IncidentKind::Neighbour),
+    ("reports-late", IncidentKind::ReportsLate),
+    ("costly", IncidentKind::Costly),
+    ("resets", IncidentKind::Resets),
+    ("zone-cut", IncidentKind::ZoneCut),
+    ("discovery-gone", IncidentKind::DiscoveryGone),
+    ("rolling", IncidentKind::Rolling),
+    ("pause", IncidentKind::Pause),
+    ("stall", IncidentKind::HostPause),
+    ("host-pause", IncidentKind::HostPause),
+    ("discovery-silent", IncidentKind::DiscoverySilent),
+    ("discovery-old", IncidentKind::DiscoveryOld),
+    ("slowed", IncidentKind::Slowed),
+    ("kill", IncidentKind::Kill),
+    ("restart", IncidentKind::Restart),
 ];
 
 /// Who plays a script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum Environment {
     /// The emulator, in simulated time.
     Emulator,
     /// Real processes with links between them.
     Processes,
 }
 
-impl Stage {
+impl Environment {
     /// Whether incidents of this kind can be played here.
-    pub fn plays(self, trouble: Trouble) -> bool {
-        self == Stage::Processes || !trouble.needs_processes()
+    pub fn supports_incident(self, kind: IncidentKind) -> bool {
+        self == Environment::Processes || !kind.needs_processes()
     }
 
     /// Whether this parameter means something here. Between processes the network is the system's own.
-    pub fn knows(self, parameter: &str) -> bool {
-        self == Stage::Emulator || !parameter.starts_with("net.") && parameter != "connection.turns"
+    pub fn supports_parameter(self, parameter: &str) -> bool {
+        self == Environment::Emulator || !parameter.starts_with("net.") && parameter != "connection.turns"
     }
 }
 
-impl Trouble {
+impl IncidentKind {
     /// Whether the emulator has nothing that could suffer it.
     pub fn needs_processes(self) -> bool {
-        use Trouble::{DiscoveryOld, DiscoverySilent, Kill, Restart, Slowed};
+        use IncidentKind::{DiscoveryOld, DiscoverySilent, Kill, Restart, Slowed};
         matches!(self, DiscoverySilent | DiscoveryOld | Slowed | Kill | Restart)
     }
 }
 
 /// Parties of a play, whose ways to each other can be disturbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
+pub enum Endpoint {
     /// Whoever hands in jobs.
     Clients,
     /// Where the list of log workers comes from.
@@ -303,35 +303,35 @@
 
 /// A way that is disturbed for a time: from the first party to the second, and back only where it says so.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Disturbance {
+pub struct LinkIncident {
     /// From the start.
     pub at: Span,
     /// For how long.
     pub length: Span,
     /// The side that opens connections.
-    pub from: Party,
+    pub from: Endpoint,
     /// The side that accepts them.
-    pub to: Party,
+    pub to: Endpoint,
     /// The part of the second party that it concerns, drawn by the seed.
     pub part: f64,
     /// What goes from the first to the second.
-    pub there: Faults,
+    pub forward: Faults,
     /// What comes back.
-    pub back: Faults,
+    pub backward: Faults,
 }
 
 /// One incident.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Incident {
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub kind: IncidentKind,
     /// From the start.
     pub at: Span,
     /// For how long.
     pub length: Span,
     /// The part of the fleet, of the dispatchers, or of the jobs that it hits.
     pub part: f64,
-    /// How bad it is; the trouble says what it means.
+    /// How bad it is; the kind says what it means.
     pub size: f64,
 }
 
@@ -345,7 +345,7 @@
     /// What goes wrong, in the order of the script.
     pub incidents: Vec<Incident>,
     /// Ways that are disturbed, in the order of the script.
-    pub disturbances: Vec<Disturbance>,
+    pub link_incidents: Vec<LinkIncident>,
 }
 
 impl Default for Scenario {
@@ -370,13 +370,13 @@
             values: defaults(PARAMS),
             classes: vec![lookup, confirm],
             incidents: Vec::new(),
-            disturbances: Vec::new(),
+            link_incidents: Vec::new(),
         }
     }
 }
 
 /// A value as a number: times in milliseconds, switches 0 or 1, choices by their number.
-pub fn plain(value: &Value) -> f64 {
+pub fn to_number(value: &Value) -> f64 {
     match value {
         Value::Bool(on) => f64::from(u8::from(*on)),
         Value::String(text) => text.parse().unwrap_or(0.0),
@@ -386,7 +386,7 @@
 
 /// The defaults of a table.
 pub fn defaults(table: &'static [Param]) -> BTreeMap<&'static str, f64> {
-    let read = |p: &'static Param| Some((p.name, plain(&p.read(p.default).ok()?)));
+    let read = |p: &'static Param| Some((p.name, to_number(&p.read(p.default).ok()?)));
     table.iter().filter_map(read).collect()
 }
 
@@ -401,7 +401,7 @@
 }
 
 /// The parameter of this name.
-pub fn find(table: &'static [Param], name: &str) -> Option<&'static Param> {
+pub fn find_param(table: &'static [Param], name: &str) -> Option<&'static Param> {
     table.iter().find(|param| param.name == name)
 }
 
@@ -423,7 +423,7 @@
     }
 
     /// A parameter that is on or off.
-    pub fn on(&self, name: &str) -> bool {
+    pub fn is_on(&self, name: &str) -> bool {
         self.get(name) != 0.0
     }
 
@@ -458,7 +458,7 @@
     }
 
     /// The sizes of its jobs, in slots: the powers of two, each half as frequent as the one before.
-    pub fn sizes(&self) -> Vec<(f64, f64)> {
+    pub fn slot_sizes(&self) -> Vec<(f64, f64)> {
         let most = self.get("slots").max(1.0);
         let sizes: Vec<f64> = (0..11).map(|n| f64::from(1 << n)).take_while(|size| *size <= most).collect();
         let all: f64 = sizes.iter().map(|size| 1.0 / size).sum();
@@ -466,6 +466,6 @@
     }
 
     fn mean_slots(&self) -> f64 {
-        self.sizes().iter().map(|(size, share)| size * share).sum()
+        self.slot_sizes().iter().map(|(size, share)| size * share).sum()
     }
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -13,11 +13,11 @@
 use rookspoke_decisions::Span;
 use rookspoke_emulator::plot;
 use rookspoke_emulator::report::Score;
-use rookspoke_emulator::scenario::{Incident, Stage, Trouble};
+use rookspoke_emulator::scenario::{Environment, Incident, IncidentKind};
 use rookspoke_emulator::script;
 use rookspoke_rig::play::{Options, Rig};
 
-use crate::stage::{code, program, runtime, told};
+use crate::processes::{code, program, runtime, told};
 
 /// Deadlines are short, so that the last answer is there in time.
 const SCRIPT: &str = "length 16s
@@ -66,7 +66,7 @@
 /// It could not be started.
 pub fn run(what: &Demo) -> Result<u8, String> {
     let scenario =
-        script::read_text("demo", SCRIPT, Stage::Processes).map_err(|problems| problems.render())?;
+        script::read_text("demo", SCRIPT, Environment::Processes).map_err(|problems| problems.render())?;
     let options = Options {
         program: program(what.program.as_deref())?,
         seed: what.seed,
@@ -84,7 +84,7 @@
             return Err("interrupted".into());
         }
         let outcome = rig.outcome().await;
-        let page = plot::page("demo", &rig.scenario, std::slice::from_ref(&outcome.report))
+        let page = plot::html_report("demo", &rig.scenario, std::slice::from_ref(&outcome.report))
             .map_err(|error| error.to_string())?;
         crate::write(&what.html, &page)?;
         let report = &outcome.report;
@@ -141,22 +141,17 @@
     while event::poll(Duration::ZERO).unwrap_or(false) {
         let Ok(Event::Key(key)) = event::read() else { continue };
         let control = key.modifiers.contains(KeyModifiers::CONTROL);
-        let (trouble, secs, of) = match key.code {
+        let (kind, secs, of) = match key.code {
             KeyCode::Char('q') => return false,
             KeyCode::Char('c') if control => return false,
-            KeyCode::Char('k') => (Trouble::Kill, 2, rig.dispatchers.len()),
-            KeyCode::Char('s') => (Trouble::HostPause, 2, rig.dispatchers.len()),
-            KeyCode::Char('w') => (Trouble::Crash, 4, rig.scenario.count("workers")),
-            KeyCode::Char('d') => (Trouble::DiscoveryGone, 3, 1),
+            KeyCode::Char('k') => (IncidentKind::Kill, 2, rig.dispatchers.len()),
+            KeyCode::Char('s') => (IncidentKind::HostPause, 2, rig.dispatchers.len()),
+            KeyCode::Char('w') => (IncidentKind::Crash, 4, rig.scenario.count("workers")),
+            KeyCode::Char('d') => (IncidentKind::DiscoveryGone, 3, 1),
             _ => continue,
         };
-        let incident = Incident {
-            trouble,
-            at: Span(0),
-            length: Span(secs * 1_000_000),
-            part: 1.0 / of as f64,
-            size: 0.0,
-        };
+        let incident =
+            Incident { kind, at: Span(0), length: Span(secs * 1_000_000), part: 1.0 / of as f64, size: 0.0 };
         let (rig, number) = (rig.clone(), *next);
         *next += 1;
         tokio::spawn(async move { rig.incident(number, &incident).await });
@@ -166,7 +161,7 @@
 
 fn figures(rig: &Rig) -> [(&'static str, String); 7] {
     let counted = rig.load.counted();
-    let score = Score::of(&rig.scenario, &counted.asked);
+    let score = Score::from_jobs(&rig.scenario, &counted.asked);
     [
         ("dispatchers", rig.in_front().to_string()),
         ("log workers", rig.plant.up().to_string()),
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays scenarios: one run, several policies side by side, sweeps, and comparisons of what was kept.
 
 mod demo;
-mod stage;
+mod processes;
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -9,11 +9,11 @@
 use std::time::Instant;
 
 use clap::{Args, Parser, Subcommand};
-use rookspoke_emulator::experiment::{compare, figure, play_all, set};
+use rookspoke_emulator::experiment::{compare, estimate, run_all, set_parameter};
 use rookspoke_emulator::journal;
-use rookspoke_emulator::policy::{Kind, NAMED};
+use rookspoke_emulator::policy::{PolicyKind, NAMED};
 use rookspoke_emulator::report::Report;
-use rookspoke_emulator::scenario::{Scenario, Stage, CLASS_PARAMS, PARAMS, TROUBLES};
+use rookspoke_emulator::scenario::{Environment, Scenario, CLASS_PARAMS, INCIDENT_KINDS, PARAMS};
 use rookspoke_emulator::script;
 use rookspoke_emulator::{paper, plot};
 
@@ -38,13 +38,13 @@
         windows: bool,
     },
     /// Play a script with real dispatchers, each a process, and stand-ins for all that they meet
-    Rehearse(stage::Rehearse),
+    Rehearse(processes::Rehearse),
     /// Start a fleet, dispatchers and load, break something, and show how it goes: under 30 s
     Demo(demo::Demo),
     /// Start log workers and discovery alone, for dispatchers that are started by hand
-    Fleet(stage::Fleet),
+    Fleet(processes::Fleet),
     /// Hand in jobs at dispatchers that run, over a fleet of `fleet`
-    Load(stage::Clients),
+    Load(processes::Clients),
     /// Play a scenario for each value of a parameter
     Sweep {
         #[command(flatten)]
@@ -107,16 +107,16 @@
 
 fn main() -> ExitCode {
     let done = match Cli::parse().command {
-        Command::Rehearse(what) => stage::rehearse(&what),
+        Command::Rehearse(what) => processes::rehearse(&what),
         Command::Demo(what) => demo::run(&what),
-        Command::Fleet(what) => stage::fleet(&what),
-        Command::Load(what) => stage::load(&what),
+        Command::Fleet(what) => processes::fleet(&what),
+        Command::Load(what) => processes::load(&what),
         Command::Run { what, files, windows } => run(&what, &files, windows).map(|()| 0),
         Command::Sweep { what, over } => sweep(&what, &over).map(|()| 0),
         Command::Compare { before, after } => compare_files(&before, &after).map(|()| 0),
         Command::Paper { seeds } => paper(seeds).map(|()| 0),
         Command::Journal { folder } => journal::read(&folder)
-            .map(|journal| say(&journal::tell(&journal)))
+            .map(|journal| say(&journal::render(&journal)))
             .map(|()| 0)
             .map_err(|error| error.to_string()),
         Command::Words => {
@@ -139,30 +139,34 @@
 }
 
 /// A script's scenario, or a calm day without one, with these parameters set.
-fn read(script: Option<&Path>, stage: Stage, parameters: &[(String, String)]) -> Result<Scenario, String> {
+fn read(
+    script: Option<&Path>,
+    environment: Environment,
+    parameters: &[(String, String)],
+) -> Result<Scenario, String> {
     let mut scenario = match script {
-        Some(path) => script::read(path, stage).map_err(|problems| problems.render())?,
+        Some(path) => script::read(path, environment).map_err(|problems| problems.render())?,
         None => Scenario::default(),
     };
     for (name, value) in parameters {
-        set(&mut scenario, name, value).map_err(|problem| told(&problem))?;
+        set_parameter(&mut scenario, name, value).map_err(|problem| told(&problem))?;
     }
     Ok(scenario)
 }
 
 impl What {
     fn scenario(&self) -> Result<Scenario, String> {
-        read(self.script.as_deref(), Stage::Emulator, &self.set)
+        read(self.script.as_deref(), Environment::Emulator, &self.set)
     }
 
-    fn kinds(&self) -> Result<Vec<Kind>, String> {
+    fn kinds(&self) -> Result<Vec<PolicyKind>, String> {
         if self.policy == "all" {
             let good = NAMED.iter().map(|(_, kind)| *kind);
-            return Ok(good.filter(|kind| !matches!(kind, Kind::Bad(_))).collect());
+            return Ok(good.filter(|kind| !matches!(kind, PolicyKind::Faulty(_))).collect());
         }
         let named = |name: &str| {
             let known: Vec<&str> = NAMED.iter().map(|(name, _)| *name).collect();
-            Kind::named(name)
+            PolicyKind::named(name)
                 .ok_or_else(|| format!("found the policy `{name}`, expected one of {}", known.join(", ")))
         };
         self.policy.split(',').map(|name| named(name.trim())).collect()
@@ -171,7 +175,7 @@
     fn play(&self, scenario: &Scenario) -> Result<Vec<Report>, String> {
         let seeds: Vec<u64> = (self.seed..self.seed + self.seeds.max(1)).collect();
         let kinds = self.kinds()?;
-        let play = || play_all(scenario, &kinds, &seeds).map_err(|error| error.to_string());
+        let play = || run_all(scenario, &kinds, &seeds).map_err(|error| error.to_string());
         match self.threads {
             None => play(),
             Some(threads) => {
@@ -194,7 +198,7 @@
 
 fn row(reports: &[Report]) -> String {
     let mean = |of: &dyn Fn(&Report) -> f64| reports.iter().map(of).sum::<f64>() / reports.len() as f64;
-    let service = figure(&reports.iter().map(|r| r.service).collect::<Vec<_>>());
+    let service = estimate(&reports.iter().map(|r| r.service).collect::<Vec<_>>());
     let part = |of: &dyn Fn(&Report) -> f64| 100.0 * mean(&|r| of(r) / r.jobs.max(1) as f64);
     let late = |r: &Report| r.classes.iter().map(|c| c.late).sum::<usize>() as f64;
     let broken: Vec<String> = reports[0]
@@ -250,12 +254,12 @@
             write(path, &serde_json::to_string(reports).map_err(|error| error.to_string())?)?;
         }
         if let Some(path) = &self.svg {
-            write(path, &plot::service(scenario, reports).map_err(|error| error.to_string())?)?;
+            write(path, &plot::service_plot(scenario, reports).map_err(|error| error.to_string())?)?;
         }
         if let Some(path) = &self.html {
             let title = script.and_then(Path::file_stem).map(|stem| stem.to_string_lossy());
             let title = title.map_or_else(|| "a calm day".to_owned(), |stem| stem.replace('-', " "));
-            write(path, &plot::page(&title, scenario, reports).map_err(|error| error.to_string())?)?;
+            write(path, &plot::html_report(&title, scenario, reports).map_err(|error| error.to_string())?)?;
         }
         Ok(())
     }
@@ -293,7 +297,7 @@
     say(&format!("{name:<16} {HEAD}"));
     for value in values.split(',') {
         let mut scenario = base.clone();
-        set(&mut scenario, name, value.trim()).map_err(|problem| told(&problem))?;
+        set_parameter(&mut scenario, name, value.trim()).map_err(|problem| told(&problem))?;
         let reports = what.play(&scenario)?;
         rows(&reports).lines().for_each(|line| say(&format!("{:<16} {line}\n", value.trim())));
     }
@@ -304,12 +308,12 @@
     let seeds: Vec<u64> = (1..=seeds.max(1)).collect();
     for (name, kept) in paper::KEPT {
         let scenario = paper::scenario(kept).map_err(|problem| told(&problem))?;
-        let reports = play_all(&scenario, &paper::POLICIES, &seeds).map_err(|error| error.to_string())?;
+        let reports = run_all(&scenario, &paper::POLICIES, &seeds).map_err(|error| error.to_string())?;
         say(&format!(
             "{name}, {kept} kept    hit ratio  95 % interval       c_v  95 % interval    mean ms\n"
         ));
         for of in reports.chunk_by(|a, b| a.policy == b.policy) {
-            let values = |get: Reading| figure(&of.iter().map(get).collect::<Vec<_>>());
+            let values = |get: Reading| estimate(&of.iter().map(get).collect::<Vec<_>>());
             let (hits, spread, mean) =
                 (values(Report::hit_ratio), values(|r| r.spread), values(|r| r.mean_ms));
             say(&format!(
@@ -348,7 +352,7 @@
         }
         for (name, of) in figures {
             let change = compare(&earlier, reports, of).map_err(|error| format!("{policy}: {error}"))?;
-            let verdict = if change.is_clear() { "the seeds support it" } else { "within chance" };
+            let verdict = if change.excludes_zero() { "the seeds support it" } else { "within chance" };
             say(&format!(
                 "{policy:<16} {name:<14} {:+.3} ({:+.3} to {:+.3}, {} seeds): {verdict}\n",
                 change.mean, change.low, change.high, change.count
@@ -367,6 +371,6 @@
         }
     }
     text.push_str("Incidents (`incident KIND at TIME [for TIME] [part PART] [size NUMBER]`):\n");
-    TROUBLES.iter().for_each(|(name, _)| text.push_str(&format!("  {name}\n")));
+    INCIDENT_KINDS.iter().for_each(|(name, _)| text.push_str(&format!("  {name}\n")));
     text
 }
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/processes.rs
@@ -10,7 +10,7 @@
 use rookspoke_emulator::model::arrivals;
 use rookspoke_emulator::report::Score;
 use rookspoke_emulator::rng::{stream, Stream};
-use rookspoke_emulator::scenario::{Scenario, Stage};
+use rookspoke_emulator::scenario::{Environment, Scenario};
 use rookspoke_emulator::script;
 use rookspoke_rig::clock::{Clock, Lateness};
 use rookspoke_rig::dispatcher::FaultInjection;
@@ -63,14 +63,14 @@
         let sizes = [("dispatchers", self.dispatchers), ("workers", self.workers)];
         let sizes = sizes.into_iter().filter_map(|(name, size)| Some((name.to_owned(), size?.to_string())));
         let parameters: Vec<(String, String)> = self.set.iter().cloned().chain(sizes).collect();
-        crate::read(self.script.as_deref(), Stage::Processes, &parameters)
+        crate::read(self.script.as_deref(), Environment::Processes, &parameters)
     }
 
     /// The play of the seed, which is printed.
     fn drawn(&self) -> Result<(Scenario, Option<FaultInjection>), String> {
         let drawn = Drawn::new(self.seed, Sizes::FULL);
         crate::say(&drawn.to_string());
-        let scenario = script::read_text("drawn", &drawn.script(), Stage::Processes);
+        let scenario = script::read_text("drawn", &drawn.script(), Environment::Processes);
         let scenario = scenario.map_err(|problems| problems.render())?;
         let Some(library) = &self.faults else { return Ok((scenario, None)) };
         // Processes start in folders of their own.
@@ -233,7 +233,7 @@
         load.run(watch.clock().now() + Span(200_000), &jobs).await;
         watch.close();
         let counted = load.counted();
-        let score = Score::of(&scenario, &counted.asked);
+        let score = Score::from_jobs(&scenario, &counted.asked);
         let (late, quantile) = (lateness.figures(), |q| counted.latency.value_at_quantile(q) as f64 / 1000.0);
         crate::say(&format!(
             "service {:.3}; {} asked, {} served ({} late), {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -16,7 +16,7 @@
 use rand::Rng;
 use rookspoke_decisions::{Effect, Span, Time};
 use rookspoke_emulator::model::Arrival;
-use rookspoke_emulator::report::Asked;
+use rookspoke_emulator::report::JobResult;
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::Scenario;
 use tokio::net::TcpStream;
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 pub struct Counted {
     /// Each job that was asked for.
-    pub asked: Vec<Asked>,
+    pub asked: Vec<JobResult>,
     /// Time to an answer, from when it was meant to be sent, in microseconds.
     pub latency: Histogram<u64>,
     /// Jobs served, in time or not.
@@ -179,7 +179,7 @@
             let (load, mut arrival) = (self.clone(), *arrival);
             let number = {
                 let mut counted = lock(&self.0.counted);
-                counted.asked.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
+                counted.asked.push(JobResult { class: arrival.class, at: arrival.asked, in_time: false });
                 counted.asked.len() - 1
             };
             arrival.asked = meant;
@@ -223,7 +223,7 @@
                 counted.retries += 1;
             }
             let back_off = self.0.s.get("clients.back-off") * (0.5 + lock(&self.0.rng).random::<f64>());
-            let advice = advice.filter(|_| self.0.s.on("clients.heeds-advice")).unwrap_or_default();
+            let advice = advice.filter(|_| self.0.s.is_on("clients.heeds-advice")).unwrap_or_default();
             tokio::time::sleep(Duration::from_secs_f64(back_off / 1000.0).max(advice)).await;
         }
     }
--- a/crates/rig/src/plant.rs
+++ b/crates/rig/src/plant.rs
@@ -329,7 +329,7 @@
         let job = Job { attempt, slots: facts.slots, work: facts.work, key: facts.key, worth: facts.worth };
         let machine = &mut works.machines[worker];
         machine.worker.advance(now);
-        let hands_back = machine.draining && self.0.s.on("worker.hands-back");
+        let hands_back = machine.draining && self.0.s.is_on("worker.hands-back");
         if hands_back || !machine.worker.take(job) {
             self.0.watch.sees(Seen::Away { id, worker });
             return Taken::Away;
@@ -365,7 +365,7 @@
         let Some(Attempt { worker, .. }) = works.attempts.get(&attempt) else { return };
         let (worker, now) = (*worker, self.now());
         works.machines[worker].worker.advance(now);
-        let running = self.0.s.on("worker.cancels-running");
+        let running = self.0.s.is_on("worker.cancels-running");
         if works.machines[worker].worker.drop_job(attempt, running) {
             works.attempts.remove(&attempt);
             works.store.advance(now);
@@ -481,7 +481,7 @@
         let now = self.now();
         works.machines[worker].draining = true;
         self.0.registry.notices(self.0.s.span("discovery.notices"), worker, View::Draining);
-        if self.0.s.on("worker.hands-back") {
+        if self.0.s.is_on("worker.hands-back") {
             works.machines[worker].worker.advance(now);
             for job in works.machines[worker].worker.hand_back() {
                 if let Some(attempt) = works.attempts.remove(&job.attempt) {
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -11,9 +11,9 @@
 use rookspoke_decisions::Span;
 use rookspoke_emulator::check::RULES;
 use rookspoke_emulator::model::{arrivals, hit, is_costly, Arrival};
-use rookspoke_emulator::report::{spread, ClassReport, Report, Score};
+use rookspoke_emulator::report::{coefficient_of_variation, ClassReport, Report, Score};
 use rookspoke_emulator::rng::{stream, Stream};
-use rookspoke_emulator::scenario::{Incident, Scenario, Trouble};
+use rookspoke_emulator::scenario::{Incident, IncidentKind, Scenario};
 use serde::Serialize;
 use thiserror::Error;
 use tokio::net::TcpListener;
@@ -339,7 +339,7 @@
     pub fn arrivals(&self) -> Vec<Arrival> {
         let (s, seed) = (&self.scenario, self.options.seed);
         let mut all = arrivals(s, seed, &mut stream(seed, Stream::Clients, 0));
-        for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
+        for incident in s.incidents.iter().filter(|incident| incident.kind == IncidentKind::Costly) {
             for (number, arrival) in all.iter_mut().enumerate() {
                 if is_costly(seed, number, arrival.asked, incident) {
                     arrival.work *= incident.size;
@@ -383,20 +383,22 @@
     /// # Errors
     /// A dispatcher that was to start again did not.
     pub async fn incident(self: &Arc<Self>, number: usize, incident: &Incident) -> Result<(), StartError> {
-        let Incident { trouble, size, length, part, .. } = *incident;
-        let of_dispatchers =
-            matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
+        let Incident { kind, size, length, part, .. } = *incident;
+        let of_dispatchers = matches!(
+            kind,
+            IncidentKind::HostPause | IncidentKind::Slowed | IncidentKind::Kill | IncidentKind::Restart
+        );
         let of = if of_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
         let all = hit(self.options.seed, number, part, of);
-        self.says(format!("incident {number}, {trouble:?}, begins"));
+        self.says(format!("incident {number}, {kind:?}, begins"));
         let lasts = lasting(length);
-        match trouble {
-            Trouble::Crash | Trouble::Silent => {
-                self.plant.crash(&all, trouble == Trouble::Silent);
+        match kind {
+            IncidentKind::Crash | IncidentKind::Silent => {
+                self.plant.crash(&all, kind == IncidentKind::Silent);
                 lasts.await;
                 self.plant.start_again(&all);
             }
-            Trouble::Rolling => {
+            IncidentKind::Rolling => {
                 let step = Span(length.0 / all.len().max(1) as i64);
                 let begin = self.watch.clock().now();
                 let mut turns = JoinSet::new();
@@ -414,12 +416,12 @@
                 }
                 while turns.join_next().await.is_some() {}
             }
-            Trouble::Slow => {
+            IncidentKind::Slow => {
                 self.plant.change(&all, |worker| worker.slow *= size.max(1e-3));
                 lasts.await;
                 self.plant.change(&all, |worker| worker.slow /= size.max(1e-3));
             }
-            Trouble::Neighbour => {
+            IncidentKind::Neighbour => {
                 let end = self.watch.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
                 while self.watch.clock().now() < end {
@@ -429,18 +431,18 @@
                 }
                 self.plant.change(&all, |worker| worker.taken = 0.0);
             }
-            Trouble::Pause => {
+            IncidentKind::Pause => {
                 self.plant.change(&all, |worker| worker.paused = true);
                 lasts.await;
                 self.plant.change(&all, |worker| worker.paused = false);
             }
-            Trouble::ReportsLate => {
+            IncidentKind::ReportsLate => {
                 let later = Span::from_ms(size * 1000.0);
                 self.plant.reports_later(later);
                 lasts.await;
                 self.plant.reports_later(Span(-later.0));
             }
-            Trouble::Resets => {
+            IncidentKind::Resets => {
                 let mut rng = stream(self.options.seed, Stream::Network, number as u64);
                 let end = self.watch.clock().now() + length;
                 while self.watch.clock().now() < end {
@@ -449,17 +451,17 @@
                 }
             }
             // Jobs are dear from the start; cut zones are links.
-            Trouble::Costly | Trouble::ZoneCut => lasts.await,
-            Trouble::DiscoveryGone | Trouble::DiscoverySilent | Trouble::DiscoveryOld => {
-                self.registry.set(match trouble {
-                    Trouble::DiscoverySilent => Mode::Silent,
-                    Trouble::DiscoveryOld => Mode::Old,
+            IncidentKind::Costly | IncidentKind::ZoneCut => lasts.await,
+            IncidentKind::DiscoveryGone | IncidentKind::DiscoverySilent | IncidentKind::DiscoveryOld => {
+                self.registry.set(match kind {
+                    IncidentKind::DiscoverySilent => Mode::Silent,
+                    IncidentKind::DiscoveryOld => Mode::Old,
                     _ => Mode::Refuses,
                 });
                 lasts.await;
                 self.registry.set(Mode::Works);
             }
-            Trouble::HostPause => {
+            IncidentKind::HostPause => {
                 for number in &all {
                     self.dispatchers[*number].stop().await;
                 }
@@ -468,7 +470,7 @@
                     self.dispatchers[*number].resume().await;
                 }
             }
-            Trouble::Slowed => {
+            IncidentKind::Slowed => {
                 let length = duration(length);
                 let mut slow = JoinSet::new();
                 for number in all {
@@ -477,14 +479,14 @@
                 }
                 while slow.join_next().await.is_some() {}
             }
-            Trouble::Kill => {
+            IncidentKind::Kill => {
                 for number in &all {
                     self.kill(*number).await;
                 }
                 lasts.await;
                 self.again(all).await?;
             }
-            Trouble::Restart => {
+            IncidentKind::Restart => {
                 let step = Span(length.0 / all.len().max(1) as i64);
                 let begin = self.watch.clock().now();
                 let mut turns = JoinSet::new();
@@ -499,7 +501,7 @@
                 all_joined(turns).await?;
             }
         }
-        self.says(format!("incident {number}, {trouble:?}, is over"));
+        self.says(format!("incident {number}, {kind:?}, is over"));
         Ok(())
     }
 
@@ -562,7 +564,7 @@
     /// The figures that the emulator gives of a run, from what was seen here.
     fn report(&self, breaches: &[Breach]) -> Report {
         let counted = self.load.counted();
-        let score = Score::of(&self.scenario, &counted.asked);
+        let score = Score::from_jobs(&self.scenario, &counted.asked);
         let classes = self.scenario.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
             jobs: counted.asked.iter().filter(|job| job.class == class).count(),
@@ -600,7 +602,7 @@
             mean_ms: counted.latency.mean() / 1000.0,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
-            spread: spread(&self.plant.worked()),
+            spread: coefficient_of_variation(&self.plant.worked()),
             rules,
             first_broken: breaches.iter().take(SENTENCES).map(sentence).collect(),
         }
--- a/crates/rig/src/ways.rs
+++ b/crates/rig/src/ways.rs
@@ -4,7 +4,7 @@
 
 use rookspoke_decisions::Span;
 use rookspoke_emulator::model::hit;
-use rookspoke_emulator::scenario::{Disturbance, Faults, Party, Scenario, Trouble};
+use rookspoke_emulator::scenario::{Endpoint, Faults, IncidentKind, LinkIncident, Scenario};
 
 /// A way between two parties. Dispatchers that every disturbance treats alike are one group, and share their links
 /// to a log worker: three hundred dispatchers in two zones need two links to each, not three hundred.
@@ -26,7 +26,7 @@
     /// For each way, which disturbances concern it, by their place in `all`.
     pub disturbed: BTreeMap<Way, Vec<usize>>,
     /// All disturbances: those of the script, then the cuts of zones.
-    pub all: Vec<Disturbance>,
+    pub all: Vec<LinkIncident>,
 }
 
 /// What discovery has to tell counts as told after this, in any case.
@@ -38,18 +38,18 @@
     /// The ways that a scenario disturbs.
     pub fn of(s: &Scenario, seed: u64) -> Self {
         let (dispatchers, workers, zones) = (s.count("dispatchers"), s.count("workers"), s.count("zones"));
-        let mut all = s.disturbances.clone();
-        for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::ZoneCut) {
+        let mut all = s.link_incidents.clone();
+        for incident in s.incidents.iter().filter(|incident| incident.kind == IncidentKind::ZoneCut) {
             let cut = Faults { cut: true, ..Faults::default() };
             let pairs = (0..zones).flat_map(|a| (0..zones).map(move |b| (a, b))).filter(|(a, b)| a != b);
-            all.extend(pairs.map(|(a, b)| Disturbance {
+            all.extend(pairs.map(|(a, b)| LinkIncident {
                 at: incident.at,
                 length: incident.length,
-                from: Party::Dispatchers(Some(a)),
-                to: Party::Workers(Some(b)),
+                from: Endpoint::Dispatchers(Some(a)),
+                to: Endpoint::Workers(Some(b)),
                 part: 1.0,
-                there: cut,
-                back: cut,
+                forward: cut,
+                backward: cut,
             }));
         }
         let from: Vec<Vec<usize>> = all.iter().map(|one| members(one.from, dispatchers, zones)).collect();
@@ -58,7 +58,7 @@
             .enumerate()
             .map(|(number, one)| {
                 let of = match one.to {
-                    Party::Dispatchers(_) | Party::Dispatcher(_) => dispatchers,
+                    Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_) => dispatchers,
                     _ => workers,
                 };
                 let everybody = members(one.to, of, zones);
@@ -67,7 +67,7 @@
             })
             .collect();
         let leads_to_workers =
-            |number: &usize| matches!(all[*number].to, Party::Workers(_) | Party::Worker(_));
+            |number: &usize| matches!(all[*number].to, Endpoint::Workers(_) | Endpoint::Worker(_));
         // A dispatcher's group: which of the disturbances towards log workers begin at it.
         let signature = |dispatcher: usize| -> Vec<usize> {
             (0..all.len()).filter(leads_to_workers).filter(|n| from[*n].contains(&dispatcher)).collect()
@@ -85,16 +85,16 @@
         let mut disturbed: BTreeMap<Way, Vec<usize>> = BTreeMap::new();
         for (number, one) in all.iter().enumerate() {
             let ways: Vec<Way> = match one.to {
-                Party::Discovery => from[number].iter().map(|d| Way::Discovery(*d)).collect(),
-                Party::Dispatchers(_) | Party::Dispatcher(_) => {
+                Endpoint::Discovery => from[number].iter().map(|d| Way::Discovery(*d)).collect(),
+                Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_) => {
                     to[number].iter().map(|d| Way::Clients(*d)).collect()
                 }
-                Party::Workers(_) | Party::Worker(_) => (0..known.len())
+                Endpoint::Workers(_) | Endpoint::Worker(_) => (0..known.len())
                     .filter(|group| known[*group].contains(&number))
                     .flat_map(|group| to[number].iter().map(move |worker| Way::Worker(group, *worker)))
                     .collect(),
                 // No way leads there, and no script is read that says so.
-                Party::Clients => Vec::new(),
+                Endpoint::Clients => Vec::new(),
             };
             ways.into_iter().for_each(|way| disturbed.entry(way).or_default().push(number));
         }
@@ -111,18 +111,19 @@
         let concerns = self.disturbed.get(&way).map_or(&[][..], Vec::as_slice);
         let now = concerns.iter().filter(|number| on.contains(number)).map(|number| &self.all[*number]);
         now.fold((Faults::default(), Faults::default()), |(there, back), one| {
-            (both(there, one.there), both(back, one.back))
+            (both(there, one.forward), both(back, one.backward))
         })
     }
 
     /// The longest that links hold up news of a drain on its way to a dispatcher, and what the dispatcher sends on its
     /// way to the log worker. Whatever discovery has to tell counts as told 6 s afterwards, whether it arrived or not.
     pub fn most_delay(&self) -> Span {
-        let to_workers = self.all.iter().filter(|one| matches!(one.to, Party::Workers(_) | Party::Worker(_)));
-        let sends = to_workers.fold(Span(0), |sum, one| sum + one.there.delay + one.there.jitter);
-        let news = self.all.iter().filter(|one| one.to == Party::Discovery).fold(Span(0), |sum, one| {
-            let Faults { delay, jitter, cut, refuse, .. } = one.back;
-            let lost = cut || refuse || one.there.cut || one.there.refuse;
+        let to_workers =
+            self.all.iter().filter(|one| matches!(one.to, Endpoint::Workers(_) | Endpoint::Worker(_)));
+        let sends = to_workers.fold(Span(0), |sum, one| sum + one.forward.delay + one.forward.jitter);
+        let news = self.all.iter().filter(|one| one.to == Endpoint::Discovery).fold(Span(0), |sum, one| {
+            let Faults { delay, jitter, cut, refuse, .. } = one.backward;
+            let lost = cut || refuse || one.forward.cut || one.forward.refuse;
             sum + if lost { TOLD_WITHIN } else { delay + jitter }
         });
         sends + news.min(TOLD_WITHIN)
@@ -131,9 +132,9 @@
     /// The longest that links hold up a request, or the end of its connection, between a client and a log worker. What is
     /// on a link that is cut or slow comes at the latest when that is over.
     pub fn most_transit(&self) -> Span {
-        let carries_requests = |one: &&Disturbance| one.to != Party::Discovery;
+        let carries_requests = |one: &&LinkIncident| one.to != Endpoint::Discovery;
         self.all.iter().filter(carries_requests).fold(Span(0), |sum, one| {
-            let Faults { delay, jitter, cut, rate, .. } = one.there;
+            let Faults { delay, jitter, cut, rate, .. } = one.forward;
             let held = if cut || rate > 0.0 { one.length } else { Span(0) };
             sum + delay + jitter + held
         })
@@ -159,25 +160,25 @@
 }
 
 /// Who is meant, out of `of`, dealt out over the zones in turn.
-fn members(party: Party, of: usize, zones: usize) -> Vec<usize> {
+fn members(party: Endpoint, of: usize, zones: usize) -> Vec<usize> {
     match party {
-        Party::Clients | Party::Discovery => Vec::new(),
-        Party::Dispatchers(None) | Party::Workers(None) => (0..of).collect(),
-        Party::Dispatchers(Some(zone)) | Party::Workers(Some(zone)) => {
+        Endpoint::Clients | Endpoint::Discovery => Vec::new(),
+        Endpoint::Dispatchers(None) | Endpoint::Workers(None) => (0..of).collect(),
+        Endpoint::Dispatchers(Some(zone)) | Endpoint::Workers(Some(zone)) => {
             (0..of).filter(|number| number % zones == zone).collect()
         }
-        Party::Dispatcher(number) | Party::Worker(number) => vec![number],
+        Endpoint::Dispatcher(number) | Endpoint::Worker(number) => vec![number],
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use rookspoke_emulator::scenario::Stage;
+    use rookspoke_emulator::scenario::Environment;
     use rookspoke_emulator::script::read_text;
 
     fn ways(text: &str) -> Ways {
-        let s = read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
+        let s = read_text("t.lab", text, Environment::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
         Ways::of(&s, 1)
     }
 
@@ -209,7 +210,7 @@
     #[test]
     fn a_part_is_drawn_by_the_seed() {
         let text = "workers 40\nincident link at 1s for 2s from dispatchers to workers part 0.25 cut";
-        let s = read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
+        let s = read_text("t.lab", text, Environment::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
         let drawn = |seed| Ways::of(&s, seed).disturbed.into_keys().collect::<Vec<_>>();
         assert_eq!((drawn(1).len(), drawn(1) == drawn(1), drawn(1) == drawn(2)), (10, true, false));
     }
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,11 +1,11 @@
 //! Plays drawn from seeds: reproducible, playable, and cut down to what matters.
 
-use rookspoke_emulator::scenario::{Scenario, Stage};
+use rookspoke_emulator::scenario::{Environment, Scenario};
 use rookspoke_emulator::script;
 use rookspoke_rig::soak::{Drawn, Sizes};
 
 fn scenario(drawn: &Drawn) -> Scenario {
-    script::read_text("drawn", &drawn.script(), Stage::Processes)
+    script::read_text("drawn", &drawn.script(), Environment::Processes)
         .unwrap_or_else(|problems| panic!("{drawn}\n{}", problems.render()))
 }
 
@@ -18,7 +18,7 @@
         let played = scenario(&drawn);
         assert!((2..=30).contains(&played.count("dispatchers")), "{drawn}");
         assert!((1..=40).contains(&played.count("workers")), "{drawn}");
-        let troubles = played.incidents.len() + played.disturbances.len();
+        let troubles = played.incidents.len() + played.link_incidents.len();
         assert!((2..=5).contains(&troubles) && troubles == drawn.incidents.len(), "{drawn}");
         with_faults += usize::from(drawn.schedule().is_some());
         largest = largest.max(played.count("dispatchers"));
--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rookspoke_decisions::Span;
-use rookspoke_emulator::scenario::{Faults, Scenario, Stage};
+use rookspoke_emulator::scenario::{Environment, Faults, Scenario};
 use rookspoke_emulator::script;
 use rookspoke_rig::play::{Options, Outcome, PlayError, Rig, Verdict};
 use rookspoke_rig::registry::View;
@@ -30,7 +30,7 @@
 };
 
 fn scenario(text: &str) -> Scenario {
-    script::read_text("test.lab", text, Stage::Processes)
+    script::read_text("test.lab", text, Environment::Processes)
         .unwrap_or_else(|problems| panic!("{}", problems.render()))
 }
 
--- a/crates/rookspoke/tests/soak.rs
+++ b/crates/rookspoke/tests/soak.rs
@@ -11,7 +11,7 @@
 
 use common::soak;
 use common::world::faults_library;
-use rookspoke_emulator::scenario::Stage;
+use rookspoke_emulator::scenario::Environment;
 use rookspoke_emulator::script;
 use rookspoke_rig::dispatcher::FaultInjection;
 use rookspoke_rig::play::{Options, Outcome, Rig, Verdict};
@@ -35,7 +35,7 @@
 }
 
 async fn play_once(drawn: &Drawn) -> Played {
-    let scenario = script::read_text("drawn.lab", &drawn.script(), Stage::Processes)
+    let scenario = script::read_text("drawn.lab", &drawn.script(), Environment::Processes)
         .unwrap_or_else(|problems| panic!("{drawn}\n{}", problems.render()));
     let faults = drawn.schedule().map(|schedule| FaultInjection { library: faults_library(), schedule });
     let options = Options { program: program(), seed: drawn.seed, patience: PATIENCE, faults };
