--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: the sizes, the habits of each part, the classes of jobs, and the incidents.
+//! Scenarios: fleet sizes, the behaviour of each component, classes of jobs, and incidents.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 use rookspoke_decisions::{Effect, Span};
 use serde_json::Value;
 
-/// A parameter of a scenario.
+/// A parameter of a scenario or of a class of jobs, as scripts and `--set` name it.
 #[derive(Clone, Copy, Debug)]
 pub struct Param {
-    /// Its name.
+    /// The name in scripts; scenarios store the value under it.
     pub name: &'static str,
-    /// Its values.
+    /// The values that it accepts.
     pub kind: Kind,
-    /// What holds where nothing is said.
+    /// The value where a script sets none, in the notation of scripts.
     pub default: &'static str,
-    /// What it means.
+    /// Its meaning, printed by `rookspoke-lab words`.
     pub doc: &'static str,
 }
 
@@ -31,186 +31,186 @@
 }
 const TIME: Kind = Kind::Time { least: 0.0, most: 86_400_000.0 };
 const LEAST_TIME: Kind = Kind::Time { least: 0.1, most: 86_400_000.0 };
-const PART: Kind = number(0.0, 1.0);
+const FRACTION: Kind = number(0.0, 1.0);
 const SWITCH: Kind = Kind::Switch;
 
-/// When an incident begins, or for how long it goes on.
+/// Accepted values of an incident's start and duration.
 pub(crate) const INCIDENT_TIME: Kind = TIME;
-/// The part of the fleet that it hits.
-pub(crate) const INCIDENT_PART: Kind = PART;
-/// How bad it is.
+/// Accepted values of the fraction of the fleet that an incident affects.
+pub(crate) const INCIDENT_PART: Kind = FRACTION;
+/// Accepted values of an incident's size.
 pub(crate) const INCIDENT_SIZE: Kind = number(0.0, 1e6);
 
-/// All parameters.
+/// The parameters of a scenario.
 pub const PARAMS: &[Param] = &[
-    param("length", LEAST_TIME, "45s", "How long clients send."),
-    param("tick", LEAST_TIME, "4ms", "A dispatcher decides no more often than this."),
-    param("dispatchers", count(1, 10_000), "3", "Dispatchers, dealt out over the zones in turn."),
-    param("workers", count(1, 100_000), "12", "Log workers, dealt out over the zones in turn."),
-    param("zones", count(1, 100), "2", "Zones."),
+    param("length", LEAST_TIME, "45s", "How long clients send jobs."),
+    param("tick", LEAST_TIME, "4ms", "Shortest time between two decisions of a dispatcher."),
+    param("dispatchers", count(1, 10_000), "3", "Dispatchers, assigned to the zones in turn."),
+    param("workers", count(1, 100_000), "12", "Log workers, assigned to the zones in turn."),
+    param("zones", count(1, 100), "2", "Availability zones of the fleet."),
     param("worker.cores", number(0.1, 1024.0), "4", "Cores of a log worker."),
-    param("worker.slots", count(1, 4096), "5", "Jobs that it works on together, in slots."),
+    param("worker.slots", count(1, 4096), "5", "Concurrent work of a log worker, in slots."),
     param(
         "worker.queue",
         count(0, 1_000_000),
         "50",
-        "Jobs that wait there at most; one more is turned away.",
+        "Longest queue of a log worker; it turns further jobs away.",
     ),
     param(
         "worker.order",
         Kind::Choice(&[("fifo", "0"), ("backfill", "1"), ("priority", "2")]),
         "fifo",
-        "Which waiting job starts: the first, once it fits; whichever fits; or the worthiest that fits.",
+        "Which queued job starts: the first, once it fits; the first that fits; the worthiest that fits.",
     ),
+    param("worker.speed-spread", number(0.0, 2.0), "0.1", "Spread of speeds: standard deviation over mean."),
     param(
-        "worker.speed-spread",
-        number(0.0, 2.0),
-        "0.1",
-        "Spread of speeds: the deviation, as a part of the mean.",
+        "worker.crowding",
+        number(0.0, 1.0),
+        "0",
+        "Speed lost for each slot in use beyond the cores, as a fraction.",
     ),
-    param("worker.crowding", number(0.0, 1.0), "0", "Speed lost for each slot in use beyond the cores."),
-    param("worker.cold-from", PART, "0.2", "The part of its speed that a log worker starts with."),
-    param("worker.cold-for", TIME, "18s", "How long it takes to become warm."),
-    param(
-        "worker.cancels-running",
-        SWITCH,
-        "off",
-        "A cancel stops running work too, not waiting work alone.",
-    ),
-    param("worker.hands-back", SWITCH, "on", "A draining one hands back what has not started."),
+    param("worker.cold-from", FRACTION, "0.2", "Fraction of its full speed at which a log worker starts."),
+    param("worker.cold-for", TIME, "18s", "How long a log worker takes to reach full speed."),
+    param("worker.cancels-running", SWITCH, "off", "A cancel stops running jobs too, not only queued ones."),
+    param("worker.hands-back", SWITCH, "on", "A draining log worker hands back jobs that have not started."),
     param(
         "worker.archives",
         count(1, 1_000_000),
         "8",
-        "Archives that it keeps; the one unused for longest goes.",
+        "Archives that a log worker caches; the least recently used is evicted.",
     ),
-    param("store.fetch", TIME, "300ms", "Fetching an archive, with the store to itself."),
+    param("store.fetch", TIME, "300ms", "Time to fetch an archive while the store is otherwise idle."),
     param(
         "store.together",
         number(0.1, 1e6),
         "6",
-        "Fetches that the store serves at full speed; more share it.",
+        "Fetches that the store serves at full speed; more share its bandwidth.",
     ),
-    param("net.same", TIME, "200us", "One way within a zone."),
-    param("net.cross", TIME, "1ms", "One way between zones."),
-    param("net.client", TIME, "600us", "One way between clients and dispatchers."),
-    param("net.jitter", PART, "0.2", "The part by which a delay may be longer."),
-    param("report.every", LEAST_TIME, "800ms", "How often a log worker looks at its own load."),
-    param("report.late", TIME, "250ms", "How old what it says is, on top."),
-    param("report.noise", PART, "0.05", "The part by which it is off."),
-    param("probe.work", TIME, "400us", "Work that a probe costs a log worker."),
-    param("connection.opening", TIME, "1500us", "Work that a new connection costs a log worker."),
-    param("connection.turns", count(0, 10), "1", "Turns over the network to open one."),
-    param("connection.idle", TIME, "15s", "How long an idle one stays open."),
+    param("net.same", TIME, "200us", "One-way delay within a zone."),
+    param("net.cross", TIME, "1ms", "One-way delay between zones."),
+    param("net.client", TIME, "600us", "One-way delay between clients and dispatchers."),
+    param("net.jitter", FRACTION, "0.2", "Largest random addition to a delay, as a fraction of it."),
+    param("report.every", LEAST_TIME, "800ms", "How often a log worker samples its load."),
+    param("report.late", TIME, "250ms", "Additional age of a load report."),
+    param("report.noise", FRACTION, "0.05", "Relative error of the reported load."),
+    param("probe.work", TIME, "400us", "Work that a probe costs the log worker."),
+    param("connection.opening", TIME, "1500us", "Work that a new connection costs the log worker."),
+    param("connection.turns", count(0, 10), "1", "Network round trips to open a connection."),
+    param("connection.idle", TIME, "15s", "How long an idle connection stays open."),
     param("connection.most", count(1, 1_000_000), "2800", "Connections that a log worker accepts."),
-    param("connection.timeout", LEAST_TIME, "250ms", "How long opening one may take."),
-    param("discovery.notices", TIME, "2500ms", "When discovery knows of a start, an end or a drain."),
-    param("discovery.notices-silence", TIME, "8s", "When it knows that a log worker has gone silent."),
-    param("discovery.spread", TIME, "60ms", "How far apart dispatchers hear the same news."),
-    param("discovery.calls", number(0.01, 1e6), "5", "Calls a second that it serves."),
-    param("discovery.timeout", LEAST_TIME, "2s", "A call that waits for longer fails."),
+    param("connection.timeout", LEAST_TIME, "250ms", "Timeout of opening a connection."),
+    param("discovery.notices", TIME, "2500ms", "Delay until discovery knows of a start, an end or a drain."),
+    param(
+        "discovery.notices-silence",
+        TIME,
+        "8s",
+        "Delay until discovery knows of an unresponsive log worker.",
+    ),
+    param("discovery.spread", TIME, "60ms", "How far apart dispatchers receive the same list update."),
+    param("discovery.calls", number(0.01, 1e6), "5", "Calls per second that discovery serves."),
+    param("discovery.timeout", LEAST_TIME, "2s", "Timeout of a discovery call."),
     param(
         "clients.load",
         number(0.0, 10.0),
         "0.6",
-        "Work asked for, as a part of what the fleet can do when warm.",
+        "Offered load, as a fraction of the fleet's capacity at full speed.",
     ),
-    param("clients.swing", PART, "0.3", "How far the load swings around that."),
-    param("clients.swing-every", LEAST_TIME, "20s", "How often."),
-    param("clients.retries", count(0, 20), "1", "Tries after the first, where one does no harm."),
-    param("clients.back-off", TIME, "200ms", "How long a client waits before the next try."),
-    param("clients.heeds-advice", SWITCH, "on", "Clients wait for as long as a refusal says."),
-    param("clients.keys", count(1, 10_000_000), "60", "What jobs may be about."),
-    param("clients.skew", number(0.0, 3.0), "0.9", "Skew of keys (Zipf's exponent); 0 is even."),
-    param("limits.attempts", count(1, 100), "6", "Call attempts for a job."),
-    param("limits.second-copies", SWITCH, "on", "A second copy may be sent while the first is out."),
-    param("limits.probes", SWITCH, "on", "Dispatchers may probe."),
-    param("limits.advice", SWITCH, "on", "Refusals may say when to come back."),
-    param("rules.answer-slack", TIME, "16ms", "A final answer counts until this long after the deadline."),
-    param("rules.ask-every", LEAST_TIME, "10s", "How long a dispatcher may go without asking for the list."),
-    param("rules.drain-grace", TIME, "500ms", "Sends to a draining log worker stop within this time."),
-    param("rules.cold-from", PART, "0.13", "What dispatchers are told of the least that a cold one can do."),
-    param("rules.cold-for", TIME, "23s", "What they are told of when it is warm."),
+    param("clients.swing", FRACTION, "0.3", "Amplitude of the load's swing, as a fraction of the load."),
+    param("clients.swing-every", LEAST_TIME, "20s", "Period of the load's swing."),
+    param("clients.retries", count(0, 20), "1", "Retries of a client, where a repeat is safe."),
+    param("clients.back-off", TIME, "200ms", "How long a client waits before a retry."),
+    param("clients.heeds-advice", SWITCH, "on", "Clients wait for the retry time that a refusal names."),
+    param("clients.keys", count(1, 10_000_000), "60", "Distinct keys of jobs."),
+    param("clients.skew", number(0.0, 3.0), "0.9", "Skew of keys (Zipf exponent); 0 is uniform."),
+    param("limits.attempts", count(1, 100), "6", "Most call attempts for a request."),
+    param("limits.second-copies", SWITCH, "on", "Dispatchers may hedge with a second copy."),
+    param("limits.probes", SWITCH, "on", "Dispatchers may probe log workers."),
+    param("limits.advice", SWITCH, "on", "Refusals may name a time to retry after."),
+    param("rules.answer-slack", TIME, "16ms", "How long after the deadline a final answer counts."),
+    param("rules.ask-every", LEAST_TIME, "10s", "Longest time between a dispatcher's requests for the list."),
+    param("rules.drain-grace", TIME, "500ms", "Time to stop sending to a draining log worker."),
+    param("rules.cold-from", FRACTION, "0.13", "Starting capacity that dispatchers assume, as a fraction."),
+    param("rules.cold-for", TIME, "23s", "Length of the slow start that dispatchers assume."),
     param(
         "rules.fall-multiple",
         number(0.01, 1000.0),
         "3",
-        "A cold one falls when sent more than this times what it can do",
+        "A log worker in slow start is overloaded by more than this multiple of its capacity",
     ),
     param("rules.fall-span", LEAST_TIME, "3s", "within any span of this length."),
-    param("goal.whole", PART, "0.35", "Weight of the whole run in the service figure."),
-    param("goal.window", PART, "0.45", "Weight of the worst window."),
-    param("goal.class", PART, "0.2", "Weight of the worst class."),
-    param("goal.window-length", LEAST_TIME, "10s", "Length of that window."),
+    param("goal.whole", FRACTION, "0.35", "Weight of the whole run in the service score."),
+    param("goal.window", FRACTION, "0.45", "Weight of the worst window in the service score."),
+    param("goal.class", FRACTION, "0.2", "Weight of the worst class in the service score."),
+    param("goal.window-length", LEAST_TIME, "10s", "Length of a window of the service score."),
 ];
 
-/// Parameters of a class of jobs.
+/// The parameters of a class of jobs.
 pub const CLASS_PARAMS: &[Param] = &[
-    param("effect", Kind::Choice(&[("safe", "0"), ("once", "1")]), "safe", "Whether it may run twice."),
-    param("share", number(0.0, 1e6), "1", "Its share of jobs, against the other classes'."),
-    param("work", LEAST_TIME, "900ms", "Mean running time at speed 1, on its own cores."),
-    param("spread", number(0.0, 10.0), "0.5", "Spread of running times (log-normal; deviation over mean)."),
+    param("effect", Kind::Choice(&[("safe", "0"), ("once", "1")]), "safe", "Whether a job may run twice."),
+    param("share", number(0.0, 1e6), "1", "Share of jobs, relative to the other classes."),
+    param("work", LEAST_TIME, "900ms", "Mean running time at speed 1, without contention for cores."),
     param(
-        "slots",
-        count(1, 1024),
-        "1",
-        "The most slots that a job takes; 1 to that many, the powers of two.",
+        "spread",
+        number(0.0, 10.0),
+        "0.5",
+        "Spread of running times (log-normal; standard deviation over mean).",
     ),
-    param("aim", TIME, "500ms", "In time within this"),
-    param("stretch", number(0.0, 1000.0), "2.5", "plus this times its own running time."),
-    param("deadline", LEAST_TIME, "10s", "When its client gives up."),
-    param("worth", number(0.0, 1e6), "1", "What it is worth in time."),
+    param("slots", count(1, 1024), "1", "Most slots that a job takes; sizes are the powers of two up to it."),
+    param("aim", TIME, "500ms", "Latency goal: this"),
+    param("stretch", number(0.0, 1000.0), "2.5", "plus this multiple of the job's own running time."),
+    param("deadline", LEAST_TIME, "10s", "When the client gives up."),
+    param("worth", number(0.0, 1e6), "1", "Value of an answer within the latency goal."),
 ];
 
-/// A class of jobs.
+/// A class of jobs that clients send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name that reports and `--set` use.
     pub name: String,
-    /// Its parameters: times in milliseconds, switches 0 or 1.
+    /// Values by parameter name: times in milliseconds, switches 0 or 1, choices by their number.
     pub values: BTreeMap<&'static str, f64>,
 }
 
-/// What goes wrong.
+/// The kinds of incident.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncidentKind {
-    /// Processes die: connections are reset. They come back cold.
+    /// Log workers die and their connections are reset. They restart in slow start.
     Crash,
-    /// Machines fall silent: nothing is refused, nothing answers. They come back cold.
+    /// Machines stop responding without refusing or resetting anything. They restart in slow start.
     Silent,
     /// Log workers run `size` times slower.
     Slow,
-    /// Another program takes the part `size` of the machine, a second on and a second off.
+    /// Another program takes the fraction `size` of the machine, one second out of two.
     Neighbour,
-    /// Reports come `size` seconds later.
+    /// Load reports are `size` seconds older.
     ReportsLate,
-    /// A part of the jobs costs `size` times the work.
+    /// A fraction of the jobs costs `size` times the work.
     Costly,
-    /// Connections in use are reset, each with the chance `size` a second.
+    /// Connections in use are reset, each with probability `size` per second.
     Resets,
-    /// Dispatchers and log workers of different zones do not hear each other.
+    /// Dispatchers and log workers of different zones cannot reach each other.
     ZoneCut,
-    /// Discovery answers nothing, and its watches end.
+    /// Discovery is down: calls fail and watches end.
     DiscoveryGone,
-    /// Log workers drain and restart, one after another over the length.
+    /// Rolling restart: log workers drain and restart one after another over the incident's length.
     Rolling,
-    /// Log workers stand still.
+    /// Log workers are suspended.
     Pause,
-    /// Dispatchers stand still: what comes in the meantime is heard afterwards.
+    /// Dispatchers are suspended; input that arrives meanwhile is processed afterwards.
     HostPause,
-    /// Discovery takes calls and answers nothing; its watches stay open.
+    /// Discovery accepts calls but does not answer; its watches stay open.
     DiscoverySilent,
-    /// Discovery goes on telling the list as it was.
+    /// Discovery keeps serving the list as it was when the incident began.
     DiscoveryOld,
-    /// Dispatchers stand still and go on by turns: `size` is the part of the time in which they run.
+    /// Dispatchers are suspended and resumed in turns: `size` is the fraction of time for which they run.
     Slowed,
-    /// Dispatchers are killed, and start again after the length.
+    /// Dispatchers are killed, and start again after the incident's length.
     Kill,
-    /// Dispatchers are told to end and start again, one after another over the length.
+    /// Rolling restart of dispatchers: they terminate and start again one after another over the length.
     Restart,
 }
 
-/// Every trouble by its name in scripts.
+/// Every kind of incident by its name in scripts.
 pub const INCIDENT_KINDS: &[(&str, IncidentKind)] = &[
     ("crash", IncidentKind::Crash),
     ("silent", IncidentKind::Silent),
@@ -232,124 +232,125 @@
     ("restart", IncidentKind::Restart),
 ];
 
-/// Who plays a script.
+/// The environment that runs a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Environment {
     /// The emulator, in simulated time.
     Emulator,
-    /// Real processes with links between them.
+    /// Real dispatcher processes, connected over links whose faults can be controlled.
     Processes,
 }
 
 impl Environment {
-    /// Whether incidents of this kind can be played here.
+    /// Whether this environment can produce incidents of this kind.
     pub fn supports_incident(self, kind: IncidentKind) -> bool {
         self == Environment::Processes || !kind.needs_processes()
     }
 
-    /// Whether this parameter means something here. Between processes the network is the system's own.
+    /// Whether this parameter has an effect in this environment. Real processes use the operating system's network,
+    /// so that delays and round trips of the network model do not apply.
     pub fn supports_parameter(self, parameter: &str) -> bool {
         self == Environment::Emulator || !parameter.starts_with("net.") && parameter != "connection.turns"
     }
 }
 
 impl IncidentKind {
-    /// Whether the emulator has nothing that could suffer it.
+    /// Whether only real processes can produce it, because the emulator does not model what it affects.
     pub fn needs_processes(self) -> bool {
         use IncidentKind::{DiscoveryOld, DiscoverySilent, Kill, Restart, Slowed};
         matches!(self, DiscoverySilent | DiscoveryOld | Slowed | Kill | Restart)
     }
 }
 
-/// Parties of a play, whose ways to each other can be disturbed.
+/// An end of a route on which a script can inject link faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// Whoever hands in jobs.
+    /// All clients.
     Clients,
-    /// Where the list of log workers comes from.
+    /// The discovery service.
     Discovery,
-    /// Dispatchers, of one zone or all.
+    /// The dispatchers of one zone, or all.
     Dispatchers(Option<usize>),
-    /// One dispatcher.
+    /// One dispatcher, by its number.
     Dispatcher(usize),
-    /// Log workers, of one zone or all.
+    /// The log workers of one zone, or all.
     Workers(Option<usize>),
-    /// One log worker.
+    /// One log worker, by its number.
     Worker(usize),
 }
 
-/// What is wrong with one direction of a way. The default is nothing.
+/// Faults of one direction of a link. The default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Everything comes this much later.
+    /// Delay of everything that is sent.
     pub delay: Span,
-    /// And up to this much later still, drawn for each piece.
+    /// Largest additional delay, drawn for each piece.
     pub jitter: Span,
-    /// Nothing comes through; connections stay open.
+    /// Nothing is delivered; connections stay open.
     pub cut: bool,
     /// New connections are refused.
     pub refuse: bool,
-    /// Bytes a second that come through at most; 0 is as many as come.
+    /// Bandwidth in bytes per second; 0 is unlimited.
     pub rate: f64,
-    /// A connection is reset once this many bytes have passed; 0 is never.
+    /// A connection is reset after this many bytes; 0 is never.
     pub reset_at: f64,
-    /// The part of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The part that comes twice.
+    /// Fraction of datagrams that are delivered twice.
     pub duplicate: f64,
-    /// The part that comes after later ones.
+    /// Fraction of datagrams that are delivered after later ones.
     pub reorder: f64,
 }
 
-/// A way that is disturbed for a time: from the first party to the second, and back only where it says so.
+/// An incident of kind `link`: faults on a route for a time, in one direction or in both.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkIncident {
-    /// From the start.
+    /// When it begins, counted from the start of the run.
     pub at: Span,
-    /// For how long.
+    /// How long it lasts.
     pub length: Span,
     /// The side that opens connections.
     pub from: Endpoint,
     /// The side that accepts them.
     pub to: Endpoint,
-    /// The part of the second party that it concerns, drawn by the seed.
+    /// Fraction of the accepting side that is affected, drawn by the seed.
     pub part: f64,
-    /// What goes from the first to the second.
+    /// Faults from the opening to the accepting side.
     pub forward: Faults,
-    /// What comes back.
+    /// Faults of the opposite direction.
     pub backward: Faults,
 }
 
-/// One incident.
+/// A failure that a scenario schedules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Incident {
-    /// What goes wrong.
+    /// What fails.
     pub kind: IncidentKind,
-    /// From the start.
+    /// When it begins, counted from the start of the run.
     pub at: Span,
-    /// For how long.
+    /// How long it lasts.
     pub length: Span,
-    /// The part of the fleet, of the dispatchers, or of the jobs that it hits.
+    /// Fraction of the log workers, of the dispatchers, or of the jobs that it affects.
     pub part: f64,
-    /// How bad it is; the kind says what it means.
+    /// Severity; its unit depends on the kind.
     pub size: f64,
 }
 
-/// What is played.
+/// A run to simulate or to rehearse.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Parameters: times in milliseconds, switches 0 or 1, choices by their number.
+    /// Values by parameter name: times in milliseconds, switches 0 or 1, choices by their number.
     pub values: BTreeMap<&'static str, f64>,
-    /// At least one class.
+    /// Classes of jobs, at least one.
     pub classes: Vec<Class>,
-    /// What goes wrong, in the order of the script.
+    /// Incidents, in the order of the script.
     pub incidents: Vec<Incident>,
-    /// Ways that are disturbed, in the order of the script.
+    /// Incidents of kind `link`, in the order of the script.
     pub link_incidents: Vec<LinkIncident>,
 }
 
 impl Default for Scenario {
-    /// Twelve log workers, three dispatchers, two classes, nothing wrong.
+    /// Twelve log workers, three dispatchers, two classes, and no incidents.
     fn default() -> Self {
         let lookup = Class { name: "log-lookup".into(), values: defaults(CLASS_PARAMS) };
         let mut confirm = Class { name: "qso-confirm".into(), values: defaults(CLASS_PARAMS) };
@@ -384,29 +385,29 @@
     }
 }
 
-/// The defaults of a table.
+/// The default values of a table of parameters, by name.
 pub fn defaults(table: &'static [Param]) -> BTreeMap<&'static str, f64> {
-    let read = |p: &'static Param| Some((p.name, to_number(&p.read(p.default).ok()?)));
+    let read = |param: &'static Param| Some((param.name, to_number(&param.read(param.default).ok()?)));
     table.iter().filter_map(read).collect()
 }
 
 impl Param {
-    /// Reads one value.
+    /// Parses a value.
     ///
     /// # Errors
-    /// Says what was found and what is expected.
+    /// The text is not an accepted value; the problem says what was found and what is expected.
     pub fn read(&self, text: &str) -> Result<Value, Problem> {
         self.kind.read(&Word::outside(self.name), &[Word::outside(text)])
     }
 }
 
-/// The parameter of this name.
+/// Looks a parameter up by its name.
 pub fn find_param(table: &'static [Param], name: &str) -> Option<&'static Param> {
     table.iter().find(|param| param.name == name)
 }
 
 impl Scenario {
-    /// A parameter's value. A name that is not in the table is a mistake in the program; it counts as 0.
+    /// A parameter's value. An unknown name is a bug in the caller, for which release builds return 0.
     pub fn get(&self, name: &str) -> f64 {
         debug_assert!(self.values.contains_key(name), "{name}");
         self.values.get(name).copied().unwrap_or(0.0)
@@ -417,7 +418,7 @@
         Span::from_ms(self.get(name))
     }
 
-    /// A parameter that is a number of things.
+    /// A parameter that is a count.
     pub fn count(&self, name: &str) -> usize {
         self.get(name) as usize
     }
@@ -427,28 +428,28 @@
         self.get(name) != 0.0
     }
 
-    /// Work that the warm fleet does in a second: seconds of a core.
+    /// Work that the fleet does per second at full speed, in core-seconds.
     pub fn capacity(&self) -> f64 {
-        let busy = self.get("worker.cores").min(self.get("worker.slots"));
-        self.get("workers") * busy
+        let busy_cores = self.get("worker.cores").min(self.get("worker.slots"));
+        self.get("workers") * busy_cores
     }
 
-    /// Mean work of a job, over all classes: seconds of a core.
+    /// Mean work of a job over all classes, in core-seconds.
     pub fn mean_work(&self) -> f64 {
-        let all: f64 = self.classes.iter().map(|c| c.get("share")).sum();
-        let work = |c: &Class| c.get("share") * c.get("work") / 1000.0 * c.mean_slots();
-        self.classes.iter().map(work).sum::<f64>() / all.max(1e-9)
+        let total_share: f64 = self.classes.iter().map(|class| class.get("share")).sum();
+        let work = |class: &Class| class.get("share") * class.get("work") / 1000.0 * class.mean_slots();
+        self.classes.iter().map(work).sum::<f64>() / total_share.max(1e-9)
     }
 }
 
 impl Class {
-    /// A parameter's value.
+    /// A parameter's value. As with [`Scenario::get`], an unknown name is a bug in the caller.
     pub fn get(&self, name: &str) -> f64 {
         debug_assert!(self.values.contains_key(name), "{name}");
         self.values.get(name).copied().unwrap_or(0.0)
     }
 
-    /// Whether it may run twice.
+    /// Whether its jobs may run twice.
     pub fn effect(&self) -> Effect {
         if self.get("effect") == 0.0 {
             Effect::Safe
@@ -457,12 +458,13 @@
         }
     }
 
-    /// The sizes of its jobs, in slots: the powers of two, each half as frequent as the one before.
+    /// Sizes of its jobs in slots, and their probabilities: powers of two, each half as frequent as the one before.
     pub fn slot_sizes(&self) -> Vec<(f64, f64)> {
-        let most = self.get("slots").max(1.0);
-        let sizes: Vec<f64> = (0..11).map(|n| f64::from(1 << n)).take_while(|size| *size <= most).collect();
-        let all: f64 = sizes.iter().map(|size| 1.0 / size).sum();
-        sizes.into_iter().map(|size| (size, 1.0 / size / all)).collect()
+        let largest = self.get("slots").max(1.0);
+        let sizes: Vec<f64> =
+            (0..11).map(|n| f64::from(1 << n)).take_while(|size| *size <= largest).collect();
+        let total: f64 = sizes.iter().map(|size| 1.0 / size).sum();
+        sizes.into_iter().map(|size| (size, 1.0 / size / total)).collect()
     }
 
     fn mean_slots(&self) -> f64 {
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -1,4 +1,4 @@
-//! Scripts: a scenario in lines, in the grammar of the project's configuration.
+//! Parser of scenario scripts. They share the grammar of the configuration file: a keyword with arguments per line.
 //!
 //! ```text
 //! workers 40
@@ -11,63 +11,66 @@
 
 use std::path::Path;
 
-use rookspoke_conf::{parse, Line, Problem, Problems, Sources, Span as Place, Word};
+use rookspoke_conf::{parse, Line, Problem, Problems, Sources, Span as SourceSpan, Word};
 use rookspoke_decisions::Span;
 
 use crate::scenario::{
     defaults, find_param, to_number, Class, Endpoint, Environment, Faults, Incident, IncidentKind,
-    LinkIncident, Scenario, CLASS_PARAMS, INCIDENT_KINDS, PARAMS,
+    LinkIncident, Scenario, CLASS_PARAMS, INCIDENT_KINDS, INCIDENT_PART, INCIDENT_SIZE, INCIDENT_TIME,
+    PARAMS,
 };
 
-/// Reads a script from a file, to be played on this stage.
+/// Reads a script from a file, for use in this environment.
 ///
 /// # Errors
-/// All that is wrong with it, each with its line; what this stage cannot play is wrong, too.
+/// Every problem of the script with its line, among them whatever the environment cannot run.
 pub fn read(path: &Path, environment: Environment) -> Result<Scenario, Problems> {
     let mut sources = Sources::default();
     match sources.open(path) {
-        Ok(_) => of(sources, environment),
+        Ok(_) => parse_script(sources, environment),
         Err(error) => {
             Err(Problems::new(vec![Problem::general(format!("{}: {error}", path.display()))], sources))
         }
     }
 }
 
-/// Reads a script from a text.
+/// Parses a script. `name` stands for the file in the problems' locations.
 ///
 /// # Errors
 /// As [`read`].
 pub fn read_text(name: &str, text: &str, environment: Environment) -> Result<Scenario, Problems> {
     let mut sources = Sources::default();
     sources.add_text(name, text);
-    of(sources, environment)
+    parse_script(sources, environment)
 }
 
-fn of(sources: Sources, environment: Environment) -> Result<Scenario, Problems> {
+fn parse_script(sources: Sources, environment: Environment) -> Result<Scenario, Problems> {
     let mut problems = Vec::new();
     let lines = parse(0, &sources.get(0).text, &mut problems);
     let mut scenario = Scenario::default();
-    let mut own_classes = Vec::new();
+    let mut script_classes = Vec::new();
     let mut incidents: Vec<Incident> = Vec::new();
-    let mut places: Vec<(Span, Place)> = Vec::new();
-    let mut checks: Vec<(usize, Place)> = Vec::new();
-    let mut seen: Vec<&'static str> = Vec::new();
+    let mut starts: Vec<(Span, SourceSpan)> = Vec::new();
+    let mut endpoint_checks: Vec<(usize, SourceSpan)> = Vec::new();
+    let mut seen_parameters: Vec<&'static str> = Vec::new();
     for line in &lines {
         let result = match (line.keyword.text.as_str(), &line.block) {
-            ("class", Some(block)) => class(line, block, &mut problems).map(|class| own_classes.push(class)),
+            ("class", Some(block)) => {
+                parse_class(line, block, &mut problems).map(|class| script_classes.push(class))
+            }
             ("incident", None) if is_link(line) => {
                 let number = scenario.link_incidents.len();
-                disturbance(line, environment).map(|one| {
-                    places.push((one.at, line.span()));
-                    checks.push((number, line.span()));
-                    scenario.link_incidents.push(one);
+                parse_link_incident(line, environment).map(|link_incident| {
+                    starts.push((link_incident.at, line.span()));
+                    endpoint_checks.push((number, line.span()));
+                    scenario.link_incidents.push(link_incident);
                 })
             }
-            ("incident", None) => incident(line, environment).map(|one| {
-                places.push((one.at, line.span()));
-                incidents.push(one);
+            ("incident", None) => parse_incident(line, environment).map(|incident| {
+                starts.push((incident.at, line.span()));
+                incidents.push(incident);
             }),
-            (_, None) => parameter(line, &mut scenario, &mut seen, environment),
+            (_, None) => parse_parameter(line, &mut scenario, &mut seen_parameters, environment),
             (name, Some(_)) => {
                 let text = format!("found the section `{name}`, expected `class NAME`");
                 Err(Problem::at(line.keyword.span, text))
@@ -75,22 +78,25 @@
         };
         problems.extend(result.err());
     }
-    if !own_classes.is_empty() {
-        scenario.classes = own_classes;
+    if !script_classes.is_empty() {
+        scenario.classes = script_classes;
     }
     let length = scenario.span("length");
-    for (at, place) in places.iter().filter(|(at, _)| *at >= length) {
+    for (at, span) in starts.iter().filter(|(at, _)| *at >= length) {
         let (at, length) = (at.secs(), length.secs());
         let text = format!("found an incident at {at}s, but clients send for {length}s only");
-        problems.push(Problem::at(*place, text));
+        problems.push(Problem::at(*span, text));
     }
-    for (number, place) in checks {
-        let ways = &scenario.link_incidents[number];
-        let nobody = [ways.from, ways.to].into_iter().find_map(|party| nobody(&scenario, party));
-        problems.extend(nobody.map(|text| Problem::at(place, text)));
+    for (number, span) in endpoint_checks {
+        let incident = &scenario.link_incidents[number];
+        let missing =
+            [incident.from, incident.to].into_iter().find_map(|end| missing_endpoint(&scenario, end));
+        problems.extend(missing.map(|text| Problem::at(span, text)));
     }
     if scenario.classes.iter().all(|class| class.get("share") == 0.0) {
-        problems.push(Problem::general("every class has the share 0, expected one that has jobs"));
+        problems.push(Problem::general(
+            "found the share 0 in every class, expected at least one class with a share above 0",
+        ));
     }
     scenario.incidents = incidents;
     match problems.is_empty() {
@@ -99,10 +105,10 @@
     }
 }
 
-fn parameter(
+fn parse_parameter(
     line: &Line,
     scenario: &mut Scenario,
-    seen: &mut Vec<&'static str>,
+    seen_parameters: &mut Vec<&'static str>,
     environment: Environment,
 ) -> Result<(), Problem> {
     let name = line.keyword.text.as_str();
@@ -112,19 +118,19 @@
         return Err(Problem::at(line.keyword.span, text).nearest(name, known));
     };
     if !environment.supports_parameter(param.name) {
-        let text = format!("found `{name}`, which real processes cannot play; use `incident link`");
+        let text = format!("found `{name}`, which does not apply to real processes; use `incident link`");
         return Err(Problem::at(line.keyword.span, text));
     }
-    if seen.contains(&param.name) {
-        return Err(Problem::at(line.keyword.span, format!("`{name}` comes twice")));
+    if seen_parameters.contains(&param.name) {
+        return Err(Problem::at(line.keyword.span, format!("`{name}` is given twice")));
     }
-    seen.push(param.name);
+    seen_parameters.push(param.name);
     let value = param.kind.read(&line.keyword, &line.args)?;
     scenario.values.insert(param.name, to_number(&value));
     Ok(())
 }
 
-fn class(line: &Line, block: &[Line], problems: &mut Vec<Problem>) -> Result<Class, Problem> {
+fn parse_class(line: &Line, block: &[Line], problems: &mut Vec<Problem>) -> Result<Class, Problem> {
     let [name] = line.args.as_slice() else {
         return Err(Problem::at(line.span(), "expected one name after `class`"));
     };
@@ -145,8 +151,8 @@
     Ok(class)
 }
 
-/// `incident KIND at TIME [for TIME] [part PART] [size NUMBER]`
-fn incident(line: &Line, environment: Environment) -> Result<Incident, Problem> {
+/// Parses `incident KIND at TIME [for TIME] [part PART] [size NUMBER]`.
+fn parse_incident(line: &Line, environment: Environment) -> Result<Incident, Problem> {
     let mut words = line.args.iter();
     let Some(kind) = words.next() else {
         return Err(Problem::at(line.span(), "expected a kind after `incident`"));
@@ -157,90 +163,92 @@
         return Err(Problem::at(kind.span, text).nearest(&kind.text, known));
     };
     if !environment.supports_incident(*incident_kind) {
-        let text = format!("found `{name}`, which the emulator cannot play; `rehearse` plays it");
+        let text = format!("found `{name}`, which the emulator does not support; use `rehearse`");
         return Err(Problem::at(kind.span, text));
     }
     let (mut at, mut length, mut part, mut size) = (None, None, None, None);
     while let Some(word) = words.next() {
-        let (kind, place) = match word.text.as_str() {
-            "at" => (crate::scenario::INCIDENT_TIME, &mut at),
-            "for" => (crate::scenario::INCIDENT_TIME, &mut length),
-            "part" => (crate::scenario::INCIDENT_PART, &mut part),
-            "size" => (crate::scenario::INCIDENT_SIZE, &mut size),
+        let (kind, field) = match word.text.as_str() {
+            "at" => (INCIDENT_TIME, &mut at),
+            "for" => (INCIDENT_TIME, &mut length),
+            "part" => (INCIDENT_PART, &mut part),
+            "size" => (INCIDENT_SIZE, &mut size),
             other => {
                 let text = format!("found `{other}`, expected `at`, `for`, `part` or `size`");
                 return Err(Problem::at(word.span, text).nearest(other, ["at", "for", "part", "size"]));
             }
         };
-        put(place, value(kind, word, words.next())?, word)?;
+        set_once(field, parse_value(kind, word, words.next())?, word)?;
     }
     let Some(at) = at else {
         return Err(Problem::at(line.span(), "expected `at TIME`"));
     };
-    let usual = usual(*incident_kind);
+    let (default_length, default_part, default_size) = incident_defaults(*incident_kind);
     Ok(Incident {
         kind: *incident_kind,
         at: Span::from_ms(at),
-        length: Span::from_ms(length.unwrap_or(usual.0)),
-        part: part.unwrap_or(usual.1),
-        size: size.unwrap_or(usual.2),
+        length: Span::from_ms(length.unwrap_or(default_length)),
+        part: part.unwrap_or(default_part),
+        size: size.unwrap_or(default_size),
     })
 }
 
-/// The kind of incident that disturbs a way.
+/// The kind of incident that injects faults on a route.
 const LINK: &str = "link";
 
 fn is_link(line: &Line) -> bool {
     line.args.first().is_some_and(|word| word.text == LINK)
 }
 
-/// The value after a word.
-fn value(kind: rookspoke_conf::Kind, word: &Word, value: Option<&Word>) -> Result<f64, Problem> {
+/// Parses the value after a keyword.
+fn parse_value(kind: rookspoke_conf::Kind, word: &Word, value: Option<&Word>) -> Result<f64, Problem> {
     let value: Vec<Word> = value.into_iter().cloned().collect();
     Ok(to_number(&kind.read(word, &value)?))
 }
 
-fn put<T>(place: &mut Option<T>, value: T, word: &Word) -> Result<(), Problem> {
-    match place.replace(value) {
-        Some(_) => Err(Problem::at(word.span, format!("`{}` comes twice", word.text))),
+fn set_once<T>(field: &mut Option<T>, value: T, word: &Word) -> Result<(), Problem> {
+    match field.replace(value) {
+        Some(_) => Err(Problem::at(word.span, format!("`{}` is given twice", word.text))),
         None => Ok(()),
     }
 }
 
-/// `incident link at TIME for TIME from PARTY to PARTY [part PART] FAULT... [back FAULT...]`
-fn disturbance(line: &Line, environment: Environment) -> Result<LinkIncident, Problem> {
+/// Parses `incident link at TIME for TIME from ENDPOINT to ENDPOINT [part PART] FAULT... [back FAULT...]`.
+fn parse_link_incident(line: &Line, environment: Environment) -> Result<LinkIncident, Problem> {
     let kind = &line.args[0];
     if environment == Environment::Emulator {
-        let text = "found `link`, which the emulator cannot play; `rehearse` plays it";
+        let text = "found `link`, which the emulator does not support; use `rehearse`";
         return Err(Problem::at(kind.span, text));
     }
     let (mut at, mut length, mut part, mut from, mut to) = (None, None, None, None, None);
-    let (mut there, mut back, mut is_back, mut any) = (Faults::default(), Faults::default(), false, false);
+    let (mut forward, mut backward) = (Faults::default(), Faults::default());
+    let (mut is_back, mut has_faults) = (false, false);
     let mut words = line.args[1..].iter();
     while let Some(word) = words.next() {
         match word.text.as_str() {
-            "at" => put(&mut at, value(crate::scenario::INCIDENT_TIME, word, words.next())?, word)?,
-            "for" => put(&mut length, value(crate::scenario::INCIDENT_TIME, word, words.next())?, word)?,
-            "part" => put(&mut part, value(crate::scenario::INCIDENT_PART, word, words.next())?, word)?,
-            "from" => put(&mut from, party(word, words.next())?, word)?,
-            "to" => put(&mut to, party(word, words.next())?, word)?,
+            "at" => set_once(&mut at, parse_value(INCIDENT_TIME, word, words.next())?, word)?,
+            "for" => set_once(&mut length, parse_value(INCIDENT_TIME, word, words.next())?, word)?,
+            "part" => set_once(&mut part, parse_value(INCIDENT_PART, word, words.next())?, word)?,
+            "from" => set_once(&mut from, parse_endpoint(word, words.next())?, word)?,
+            "to" => set_once(&mut to, parse_endpoint(word, words.next())?, word)?,
             "back" => is_back = true,
             _ => {
-                let faults = if is_back { &mut back } else { &mut there };
-                fault(faults, word, &mut words)?;
-                any = true;
+                let faults = if is_back { &mut backward } else { &mut forward };
+                parse_fault(faults, word, &mut words)?;
+                has_faults = true;
             }
         }
     }
     let missing = |what: &str| Problem::at(line.span(), format!("expected {what}"));
-    let (from, to) = (from.ok_or_else(|| missing("`from PARTY`"))?, to.ok_or_else(|| missing("`to PARTY`"))?);
-    if !is_way(from, to) {
+    let (from, to) =
+        (from.ok_or_else(|| missing("`from ENDPOINT`"))?, to.ok_or_else(|| missing("`to ENDPOINT`"))?);
+    if !is_route(from, to) {
         let text =
-            "no way leads from the first to the second: clients speak to dispatchers, and dispatchers to \
+            "found no route between these endpoints: clients connect to dispatchers, and dispatchers to \
                     discovery and to log workers";
         return Err(Problem::at(line.span(), text));
     }
-    if !any {
+    if !has_faults {
         return Err(missing(FAULTS));
     }
     Ok(LinkIncident {
@@ -249,30 +257,31 @@
         from,
         to,
         part: part.unwrap_or(1.0),
-        forward: there,
-        backward: back,
+        forward,
+        backward,
     })
 }
 
 const FAULTS: &str =
     "`delay`, `jitter`, `cut`, `refuse`, `rate`, `reset-at`, `loss`, `duplicate` or `reorder`";
 
-fn fault<'a>(
+/// Parses one fault of a link: a keyword, and its value if it takes one.
+fn parse_fault<'a>(
     faults: &mut Faults,
     word: &Word,
     words: &mut impl Iterator<Item = &'a Word>,
 ) -> Result<(), Problem> {
-    let mut number = |kind| value(kind, word, words.next());
+    let mut number = |kind| parse_value(kind, word, words.next());
     match word.text.as_str() {
         "cut" => faults.cut = true,
         "refuse" => faults.refuse = true,
-        "delay" => faults.delay = Span::from_ms(number(crate::scenario::INCIDENT_TIME)?),
-        "jitter" => faults.jitter = Span::from_ms(number(crate::scenario::INCIDENT_TIME)?),
-        "rate" => faults.rate = number(crate::scenario::INCIDENT_SIZE)?,
-        "reset-at" => faults.reset_at = number(crate::scenario::INCIDENT_SIZE)?,
-        "loss" => faults.loss = number(crate::scenario::INCIDENT_PART)?,
-        "duplicate" => faults.duplicate = number(crate::scenario::INCIDENT_PART)?,
-        "reorder" => faults.reorder = number(crate::scenario::INCIDENT_PART)?,
+        "delay" => faults.delay = Span::from_ms(number(INCIDENT_TIME)?),
+        "jitter" => faults.jitter = Span::from_ms(number(INCIDENT_TIME)?),
+        "rate" => faults.rate = number(INCIDENT_SIZE)?,
+        "reset-at" => faults.reset_at = number(INCIDENT_SIZE)?,
+        "loss" => faults.loss = number(INCIDENT_PART)?,
+        "duplicate" => faults.duplicate = number(INCIDENT_PART)?,
+        "reorder" => faults.reorder = number(INCIDENT_PART)?,
         other => {
             let text = format!("found `{other}`, expected {FAULTS}");
             let known =
@@ -283,13 +292,13 @@
     Ok(())
 }
 
-const PARTIES: &str =
+const ENDPOINTS: &str =
     "`clients`, `discovery`, `dispatchers`, `dispatchers.z0`, `n0`, `workers`, `workers.z0` or `w0`";
 
-/// Who is meant: everybody of a kind, those of a zone, or one by number.
-fn party(word: &Word, name: Option<&Word>) -> Result<Endpoint, Problem> {
+/// Parses an endpoint: all of a kind, those of one zone, or one by its number.
+fn parse_endpoint(word: &Word, name: Option<&Word>) -> Result<Endpoint, Problem> {
     let Some(name) = name else {
-        return Err(Problem::at(word.span, format!("expected {PARTIES} after `{}`", word.text)));
+        return Err(Problem::at(word.span, format!("expected {ENDPOINTS} after `{}`", word.text)));
     };
     let number = |prefix: &str| name.text.strip_prefix(prefix).and_then(|digits| digits.parse().ok());
     let found = match name.text.as_str() {
@@ -303,36 +312,37 @@
             .or_else(|| number("n").map(Endpoint::Dispatcher))
             .or_else(|| number("w").map(Endpoint::Worker)),
     };
-    found.ok_or_else(|| Problem::at(name.span, format!("found `{}`, expected {PARTIES}", name.text)))
+    found.ok_or_else(|| Problem::at(name.span, format!("found `{}`, expected {ENDPOINTS}", name.text)))
 }
 
-fn is_way(from: Endpoint, to: Endpoint) -> bool {
-    let dispatches = |party| matches!(party, Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_));
+fn is_route(from: Endpoint, to: Endpoint) -> bool {
+    let is_dispatcher = |endpoint| matches!(endpoint, Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_));
     match to {
         Endpoint::Clients => false,
-        Endpoint::Discovery | Endpoint::Workers(_) | Endpoint::Worker(_) => dispatches(from),
+        Endpoint::Discovery | Endpoint::Workers(_) | Endpoint::Worker(_) => is_dispatcher(from),
         Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_) => from == Endpoint::Clients,
     }
 }
 
-/// Says who is meant that does not exist.
-fn nobody(scenario: &Scenario, party: Endpoint) -> Option<String> {
-    let beyond = |number: usize, of: &str| {
-        let most = scenario.count(of);
-        (number >= most).then(|| format!("found number {number} of the {of}, expected less than {most}"))
+/// Describes the endpoint if the scenario has no zone, dispatcher or log worker of its number.
+fn missing_endpoint(scenario: &Scenario, endpoint: Endpoint) -> Option<String> {
+    let out_of_range = |number: usize, parameter: &str| {
+        let count = scenario.count(parameter);
+        (number >= count)
+            .then(|| format!("found number {number} of the {parameter}, expected less than {count}"))
     };
-    match party {
+    match endpoint {
         Endpoint::Clients | Endpoint::Discovery | Endpoint::Dispatchers(None) | Endpoint::Workers(None) => {
             None
         }
-        Endpoint::Dispatchers(Some(zone)) | Endpoint::Workers(Some(zone)) => beyond(zone, "zones"),
-        Endpoint::Dispatcher(number) => beyond(number, "dispatchers"),
-        Endpoint::Worker(number) => beyond(number, "workers"),
+        Endpoint::Dispatchers(Some(zone)) | Endpoint::Workers(Some(zone)) => out_of_range(zone, "zones"),
+        Endpoint::Dispatcher(number) => out_of_range(number, "dispatchers"),
+        Endpoint::Worker(number) => out_of_range(number, "workers"),
     }
 }
 
-/// What holds where a line does not say: length in milliseconds, part, size.
-fn usual(kind: IncidentKind) -> (f64, f64, f64) {
+/// Defaults of an incident: length in milliseconds, part and size.
+fn incident_defaults(kind: IncidentKind) -> (f64, f64, f64) {
     match kind {
         IncidentKind::Crash | IncidentKind::Silent => (15_000.0, 0.25, 0.0),
         IncidentKind::Slow => (20_000.0, 0.2, 5.0),
--- a/crates/emulator/tests/emulator.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -154,14 +154,14 @@
     let text = "dispatchers 2\nincident kill at 1s\nincident link at 1s for 2s from n0 to w0 cut";
     insta::assert_snapshot!(
         told(text, Environment::Emulator),
-        @"day.lab:2:10: found `kill`, which the emulator cannot play; `rehearse` plays it; day.lab:3:10: found `link`, which the emulator cannot play; `rehearse` plays it"
+        @"day.lab:2:10: found `kill`, which the emulator does not support; use `rehearse`; day.lab:3:10: found `link`, which the emulator does not support; use `rehearse`"
     );
     let text = "net.cross 3ms\nincident link at 1s for 2s from n9 to workers.z7 cut\n\
                 incident link at 1s for 2s from workers to n0 cut\nincident link at 1s from n0 to w0 loss 2\n\
                 incident link at 1s for 2s from n0 to w0 latency 2ms\nincident link at 1s for 1s from n0 to w0";
     insta::assert_snapshot!(told(text, Environment::Processes).replace("; day", "\nday"), @r"
-    day.lab:1:1: found `net.cross`, which real processes cannot play; use `incident link`
-    day.lab:3:1: no way leads from the first to the second: clients speak to dispatchers, and dispatchers to discovery and to log workers
+    day.lab:1:1: found `net.cross`, which does not apply to real processes; use `incident link`
+    day.lab:3:1: found no route between these endpoints: clients connect to dispatchers, and dispatchers to discovery and to log workers
     day.lab:4:40: found `2`, expected a number from 0 to 1
     day.lab:5:42: found `latency`, expected `delay`, `jitter`, `cut`, `refuse`, `rate`, `reset-at`, `loss`, `duplicate` or `reorder`
     day.lab:6:1: expected `delay`, `jitter`, `cut`, `refuse`, `rate`, `reset-at`, `loss`, `duplicate` or `reorder`
