--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Many runs: seeds in parallel, sweeps over parameters, and paired comparisons.
+//! Experiments over many runs: seeds in parallel, parameters set by name, and paired comparisons.
 
 use rand::Rng;
 use rayon::prelude::*;
@@ -12,20 +12,20 @@
 use crate::rng::{stream, Stream};
 use crate::scenario::{find_param, to_number, Scenario, CLASS_PARAMS, PARAMS};
 
-/// Sets a parameter by its name; one of a class is `CLASS.NAME`.
+/// Sets a parameter by its name; `CLASS.NAME` addresses a parameter of a class.
 ///
 /// # Errors
-/// Says what is not known, or what is expected.
+/// The name is unknown, or the value is not accepted; the problem says what is expected.
 pub fn set_parameter(scenario: &mut Scenario, name: &str, text: &str) -> Result<(), Problem> {
     if let Some(param) = find_param(PARAMS, name) {
         scenario.values.insert(param.name, to_number(&param.read(text)?));
         return Ok(());
     }
-    let of_class = name.split_once('.').and_then(|(class, param)| {
-        let class = scenario.classes.iter_mut().find(|c| c.name == class)?;
+    let class_param = name.split_once('.').and_then(|(class, param)| {
+        let class = scenario.classes.iter_mut().find(|known| known.name == class)?;
         Some((class, find_param(CLASS_PARAMS, param)?))
     });
-    match of_class {
+    match class_param {
         Some((class, param)) => {
             class.values.insert(param.name, to_number(&param.read(text)?));
             Ok(())
@@ -37,11 +37,11 @@
     }
 }
 
-/// Plays a scenario with each policy at each seed, in parallel. The order of the reports is that of policies, then
-/// of seeds, whatever the number of threads.
+/// Runs a scenario with each policy and each seed, in parallel. Reports are ordered by policy, then by seed,
+/// whatever the number of threads.
 ///
 /// # Errors
-/// The scenario's settings make no sense to the decisions.
+/// The decisions reject the settings that follow from the scenario.
 pub fn run_all(
     scenario: &Scenario,
     kinds: &[PolicyKind],
@@ -52,31 +52,31 @@
     runs.par_iter().map(|(kind, seed)| play(scenario, *kind, *seed)).collect()
 }
 
-/// A figure with its uncertainty.
+/// A mean with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Estimate {
-    /// The mean over the seeds.
+    /// Mean over the seeds.
     pub mean: f64,
-    /// The lower end of the interval that holds the true mean with a chance of 95 %.
+    /// Lower end of the 95 % confidence interval of the mean.
     pub low: f64,
-    /// Its upper end.
+    /// Upper end of the interval.
     pub high: f64,
-    /// Values that went in.
+    /// Number of values.
     pub count: usize,
 }
 
 impl Estimate {
-    /// Whether the interval leaves zero out.
+    /// Whether the interval excludes zero; never with a single value.
     pub fn excludes_zero(&self) -> bool {
         self.count > 1 && (self.low > 0.0 || self.high < 0.0)
     }
 }
 
-/// Samples drawn for an interval.
+/// Bootstrap samples per interval.
 const BOOTSTRAP_RESAMPLES: usize = 2000;
 
-/// The mean, and an interval by resampling (the percentile bootstrap, Efron, 1979). It takes no shape for granted:
-/// service figures have a long tail on the bad side. The draws are always the same.
+/// Estimates the mean and its confidence interval by the percentile bootstrap (Efron, 1979), which assumes no
+/// distribution: service scores have a long tail on the bad side. The random draws are the same in every call.
 pub fn estimate(values: &[f64]) -> Estimate {
     let count = values.len();
     let mean = values.iter().sum::<f64>() / count.max(1) as f64;
@@ -96,33 +96,34 @@
     }
 }
 
-/// What changed from one set of reports to another, seed by seed.
+/// Estimates the change of a value from one set of reports to another, paired by seed.
 ///
 /// # Errors
-/// The seeds of the two are not the same.
+/// The two sets do not have the same seeds, or are empty.
 pub fn compare(
     before: &[Report],
     after: &[Report],
-    of: impl Fn(&Report) -> f64,
+    value: impl Fn(&Report) -> f64,
 ) -> Result<Estimate, SeedMismatch> {
     let seeds = |reports: &[Report]| reports.iter().map(|report| report.seed).collect::<Vec<_>>();
-    let (a, b) = (seeds(before), seeds(after));
-    if a != b || a.is_empty() {
-        return Err(SeedMismatch { before: a.len(), after: b.len() });
+    let (seeds_before, seeds_after) = (seeds(before), seeds(after));
+    if seeds_before != seeds_after || seeds_before.is_empty() {
+        return Err(SeedMismatch { before: seeds_before.len(), after: seeds_after.len() });
     }
-    let differences: Vec<f64> = before.iter().zip(after).map(|(a, b)| of(b) - of(a)).collect();
+    let differences: Vec<f64> =
+        before.iter().zip(after).map(|(before, after)| value(after) - value(before)).collect();
     Ok(estimate(&differences))
 }
 
-/// Two sets that were not played at the same seeds.
+/// Two sets of reports cannot be compared because their seeds differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "found {before} and {after} reports, expected the same seeds in both: a difference is taken seed by seed"
+    "found {before} and {after} reports, expected the same seeds in both: reports are compared seed by seed"
 )]
 pub struct SeedMismatch {
-    /// Reports in the first.
+    /// Number of reports in the first set.
     pub before: usize,
-    /// Reports in the second.
+    /// Number of reports in the second set.
     pub after: usize,
 }
 
@@ -131,7 +132,7 @@
     use super::*;
 
     #[test]
-    fn an_interval_holds_the_mean_and_narrows() {
+    fn interval_contains_the_mean_and_narrows_with_more_values() {
         let few = estimate(&[0.1, 0.3, 0.2, 0.4]);
         let many = estimate(&[0.1, 0.3, 0.2, 0.4].repeat(20));
         assert!(few.low < few.mean && few.mean < few.high);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! An emulator of the fleet in simulated time: dispatchers, log workers, the archive store, discovery, the network
-//! and clients, with scripts of incidents, checkers of the rules, and other policies to compare with.
+//! A discrete-event simulator of the fleet: dispatchers, log workers, the archive store, discovery, the network and
+//! clients. Scenarios inject incidents, checkers verify the rules, and other policies serve for comparison.
 //!
-//! The decisions are linked unchanged, through their own interface. Nothing here reads a clock, and every random
-//! draw comes from a stream of its own entity, so that a scenario and a seed always give the same report.
+//! The dispatchers run the decisions crate unchanged, through its public interface. Nothing here reads a clock, and
+//! every entity draws from its own random stream, so that a scenario and a seed always give the same report.
 
 pub mod check;
 pub mod experiment;
--- a/crates/emulator/src/paper.rs
+++ b/crates/emulator/src/paper.rs
@@ -1,9 +1,9 @@
-//! The experiment of the paper that the design goes back to ("A Greedy Load Balancing Algorithm on Serverless
+//! The experiment of the paper that the design is based on ("A Greedy Load Balancing Algorithm on Serverless
 //! Platforms Maximizing Locality"): eight workers, thirty applications, one balancer, caches of limited size.
 //!
-//! The paper's workers were cloud functions, its load a trace; what is rebuilt here is the shape of the experiment,
-//! not its machines. Its figures of interest are the part of runs that found their application loaded (hit ratio)
-//! and how unevenly work was spread (coefficient of variation over workers).
+//! The paper used cloud functions as workers and a trace as load. This reproduces the setup of the experiment, not
+//! its machines. The metrics of interest are the fraction of runs that found their application loaded (hit ratio)
+//! and the imbalance of work (coefficient of variation over workers).
 
 use rookspoke_conf::Problem;
 
@@ -11,7 +11,7 @@
 use crate::policy::{Baseline, PolicyKind};
 use crate::scenario::Scenario;
 
-/// The policies of the experiment.
+/// The policies that the experiment compares.
 pub const POLICIES: [PolicyKind; 5] = [
     PolicyKind::Ours,
     PolicyKind::Baseline(Baseline::RoundRobin),
@@ -20,15 +20,16 @@
     PolicyKind::Baseline(Baseline::Pasch),
 ];
 
-/// Applications that a worker keeps: many, as in the paper's first experiment (P1, a cache of limited size), and two,
-/// as in its second (P2, containers warmed up for two).
-pub const KEPT: [(&str, usize); 2] = [("P1", 6), ("P2", 2)];
+/// Applications that a worker caches: six, as in the paper's first experiment (P1, a cache of limited size), and two,
+/// as in its second (P2, containers kept warm for two applications).
+pub const CACHE_SIZES: [(&str, usize); 2] = [("P1", 6), ("P2", 2)];
 
-/// The scenario: workers of eight slots (t_full), of which each keeps `kept` of the thirty applications.
+/// The experiment's scenario: workers of eight slots (`t_full` in the paper) that each cache `cache_size` of the
+/// thirty applications.
 ///
 /// # Errors
-/// A parameter that the table does not know; a test holds that there is none.
-pub fn scenario(kept: usize) -> Result<Scenario, Problem> {
+/// A parameter is missing from the table or rejects its value, which is a bug in this function.
+pub fn scenario(cache_size: usize) -> Result<Scenario, Problem> {
     let mut scenario = Scenario::default();
     scenario.classes.truncate(1);
     for (name, value) in [
@@ -50,6 +51,6 @@
     ] {
         set_parameter(&mut scenario, name, value)?;
     }
-    set_parameter(&mut scenario, "worker.archives", &kept.to_string())?;
+    set_parameter(&mut scenario, "worker.archives", &cache_size.to_string())?;
     Ok(scenario)
 }
--- a/crates/emulator/src/plot.rs
+++ b/crates/emulator/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots, and a report of its own in one file: a page with tables and drawings in it, which needs nothing else.
+//! SVG plots, and an HTML report with tables and plots in a single file without external resources.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -10,25 +10,25 @@
 use crate::report::Report;
 use crate::scenario::{Incident, Scenario, INCIDENT_KINDS};
 
-/// A drawing that failed.
+/// The drawing library failed to render a plot.
 #[derive(Debug, Error)]
-#[error("the plot {0:?} could not be drawn: {1}")]
+#[error("failed to draw the plot {0:?}: {1}")]
 pub struct PlotError(String, String);
 
-/// A line of a plot.
+/// A data series of a line plot.
 pub struct Series {
-    /// What it shows.
+    /// Label in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
 const SIZE: (u32, u32) = (860, 320);
 
-/// Draws lines over the same axes, as SVG. Incidents are drawn as shades behind them.
+/// Draws series over common axes as SVG. `shades` are intervals of x, such as incidents, that are shaded behind them.
 ///
 /// # Errors
-/// The drawing library says why it could not.
+/// The drawing library failed.
 pub fn line_plot(
     title: &str,
     axes: (&str, &str),
@@ -81,24 +81,24 @@
     Ok(())
 }
 
-/// Service over time, a line for each policy: the mean of the seeds.
+/// Plots service over time: a line for each policy, as the mean over the seeds.
 ///
 /// # Errors
 /// As [`line_plot`].
 pub fn service_plot(scenario: &Scenario, reports: &[Report]) -> Result<String, PlotError> {
     let policy_lines: Vec<Series> = reports
         .chunk_by(|a, b| a.policy == b.policy)
-        .map(|of| {
+        .map(|runs| {
             let mut sums: BTreeMap<u64, (f64, f64)> = BTreeMap::new();
-            for window in of.iter().flat_map(|report| &report.windows) {
+            for window in runs.iter().flat_map(|report| &report.windows) {
                 let sum = sums.entry(window.from_s as u64).or_default();
                 *sum = (sum.0 + window.service, sum.1 + 1.0);
             }
             let points = sums.into_iter().map(|(from, (sum, count))| (from as f64, sum / count));
-            Series { name: of[0].policy.clone(), points: points.collect() }
+            Series { name: runs[0].policy.clone(), points: points.collect() }
         })
         .collect();
-    let shade = |i: &Incident| (i.at.secs(), (i.at.secs() + i.length.secs()));
+    let shade = |incident: &Incident| (incident.at.secs(), (incident.at.secs() + incident.length.secs()));
     let shades: Vec<(f64, f64)> = scenario.incidents.iter().map(shade).collect();
     let axes = ("start of the window, s", "worth answered in time");
     line_plot("service over time", axes, &policy_lines, &shades)
@@ -108,18 +108,18 @@
     text.to_string().replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The page. It is one file, with no scripts and nothing from elsewhere.
+/// Renders the HTML report, without scripts or external resources.
 ///
 /// # Errors
 /// As [`line_plot`].
 pub fn html_report(title: &str, scenario: &Scenario, reports: &[Report]) -> Result<String, PlotError> {
     let mut rows = String::new();
-    for of in reports.chunk_by(|a, b| a.policy == b.policy) {
-        let mean = |get: &dyn Fn(&Report) -> f64| of.iter().map(get).sum::<f64>() / of.len() as f64;
-        let service = estimate(&of.iter().map(|r| r.service).collect::<Vec<_>>());
-        let broken: u64 = of.iter().flat_map(|r| r.rules.values()).sum();
+    for runs in reports.chunk_by(|a, b| a.policy == b.policy) {
+        let mean = |get: &dyn Fn(&Report) -> f64| runs.iter().map(get).sum::<f64>() / runs.len() as f64;
+        let service = estimate(&runs.iter().map(|r| r.service).collect::<Vec<_>>());
+        let violations: u64 = runs.iter().flat_map(|r| r.rules.values()).sum();
         let cells = [
-            escape(&of[0].policy),
+            escape(&runs[0].policy),
             format!("{:.3}", service.mean),
             match service.count > 1 {
                 true => format!("{:.3} to {:.3}", service.low, service.high),
@@ -130,17 +130,21 @@
             format!("{:.3}", mean(&|r| r.worst_class)),
             format!("{:.2}", mean(&Report::hit_ratio)),
             format!("{:.0}", mean(&|r| r.p99_ms)),
-            if broken == 0 { "kept".into() } else { format!("broken {broken} times") },
+            if violations == 0 { "kept".into() } else { format!("broken {violations} times") },
         ];
         rows.push_str(&format!("<tr><td>{}</td></tr>\n", cells.join("</td><td>")));
     }
     let incidents: String = scenario
         .incidents
         .iter()
-        .map(|i| {
-            let name = INCIDENT_KINDS.iter().find(|(_, t)| *t == i.kind).map_or("?", |(name, _)| name);
-            let (at, length) = (i.at.secs(), i.length.secs());
-            format!("<li>{name}: at {at} s for {length} s, part {}, size {}</li>\n", i.part, i.size)
+        .map(|incident| {
+            let name =
+                INCIDENT_KINDS.iter().find(|(_, kind)| *kind == incident.kind).map_or("?", |(name, _)| name);
+            let (at, length) = (incident.at.secs(), incident.length.secs());
+            format!(
+                "<li>{name}: at {at} s for {length} s, part {}, size {}</li>\n",
+                incident.part, incident.size
+            )
         })
         .collect();
     let seeds = reports.chunk_by(|a, b| a.policy == b.policy).next().map_or(0, <[Report]>::len);
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to.
+//! Results of a run: counts, latencies and the service score.
 
 use std::collections::BTreeMap;
 
@@ -7,86 +7,86 @@
 
 use crate::scenario::Scenario;
 
-/// A stretch of a run.
+/// The service score of one sliding window of a run.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Window {
-    /// Its beginning, in seconds.
+    /// Start of the window, in seconds from the start of the run.
     pub from_s: f64,
-    /// Worth answered in time over worth asked for.
+    /// Worth answered in time over worth submitted.
     pub service: f64,
 }
 
-/// A class of jobs.
+/// Results of a class of jobs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassReport {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Jobs asked for.
+    /// Jobs submitted.
     pub jobs: usize,
-    /// Jobs served too late.
+    /// Jobs served later than their latency goal.
     pub late: usize,
-    /// Worth answered in time over worth asked for.
+    /// Worth answered in time over worth submitted.
     pub service: f64,
 }
 
-/// A job that was asked for, and whether it was answered in time.
+/// A submitted job, and whether it was answered in time.
 #[derive(Clone, Copy, Debug)]
 pub struct JobResult {
-    /// Its class, by its place in the scenario.
+    /// Index of its class in the scenario.
     pub class: usize,
-    /// When its client first meant to send it.
+    /// When its client intended to send it first.
     pub at: Time,
-    /// Answered in time.
+    /// Whether it was answered within its latency goal.
     pub in_time: bool,
 }
 
-/// The service figure and its parts, each 0 to 1.
+/// The service score and its components, each from 0 to 1.
 #[derive(Clone, Debug)]
 pub struct Score {
-    /// Whole run, worst window and worst class, weighed as the scenario says.
+    /// Whole run, worst window and worst class, by the weights of the scenario.
     pub service: f64,
-    /// Of the whole run.
+    /// Score of the whole run.
     pub whole: f64,
-    /// Of the worst window.
+    /// Score of the worst window.
     pub worst_window: f64,
-    /// Of the worst class.
+    /// Score of the worst class.
     pub worst_class: f64,
-    /// Every window, a second apart.
+    /// Score of each sliding window; windows start one second apart.
     pub windows: Vec<Window>,
-    /// Every class.
+    /// Score of each class.
     pub classes: Vec<f64>,
 }
 
 impl Score {
-    /// The figures of a run: worth answered in time over worth asked for.
-    pub fn from_jobs(s: &Scenario, jobs: &[JobResult]) -> Self {
-        let part = |of: &dyn Fn(&JobResult) -> bool| {
-            let of = jobs.iter().filter(|job| of(job));
-            let (asked, got) = of.fold((0.0, 0.0), |(asked, got), job| {
-                let worth = s.classes[job.class].get("worth");
-                (asked + worth, if job.in_time { got + worth } else { got })
+    /// Computes the scores of a run: worth answered in time over worth submitted, or 1 where nothing was submitted.
+    pub fn from_jobs(scenario: &Scenario, jobs: &[JobResult]) -> Self {
+        let ratio = |selected: &dyn Fn(&JobResult) -> bool| {
+            let selected = jobs.iter().filter(|job| selected(job));
+            let (submitted, in_time) = selected.fold((0.0, 0.0), |(submitted, in_time), job| {
+                let worth = scenario.classes[job.class].get("worth");
+                (submitted + worth, if job.in_time { in_time + worth } else { in_time })
             });
-            if asked > 0.0 {
-                got / asked
+            if submitted > 0.0 {
+                in_time / submitted
             } else {
                 1.0
             }
         };
-        let whole = part(&|_| true);
-        let length = s.span("goal.window-length");
-        let seconds = ((s.span("length") - length).secs().max(0.0)) as i64;
+        let whole = ratio(&|_| true);
+        let length = scenario.span("goal.window-length");
+        let seconds = ((scenario.span("length") - length).secs().max(0.0)) as i64;
         let windows: Vec<Window> = (0..=seconds)
             .map(|second| {
                 let from = Time(second * 1_000_000);
                 let within = |job: &JobResult| job.at >= from && job.at < from + length;
-                Window { from_s: second as f64, service: part(&within) }
+                Window { from_s: second as f64, service: ratio(&within) }
             })
             .collect();
-        let worst_window = windows.iter().map(|w| w.service).fold(1.0, f64::min);
+        let worst_window = windows.iter().map(|window| window.service).fold(1.0, f64::min);
         let classes: Vec<f64> =
-            (0..s.classes.len()).map(|class| part(&|job: &JobResult| job.class == class)).collect();
+            (0..scenario.classes.len()).map(|class| ratio(&|job: &JobResult| job.class == class)).collect();
         let worst_class = classes.iter().copied().fold(1.0, f64::min);
-        let goal = |name: &str| s.get(name);
+        let goal = |name: &str| scenario.get(name);
         let weights = goal("goal.whole") + goal("goal.window") + goal("goal.class");
         let service = goal("goal.whole") * whole
             + goal("goal.window") * worst_window
@@ -95,84 +95,84 @@
     }
 }
 
-/// What a run came to.
+/// The report of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// The policy's name.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of every random stream of the run.
     pub seed: u64,
-    /// The service figure: whole run, worst window and worst class, weighed as the scenario says. 0 to 1.
+    /// Service score from 0 to 1: whole run, worst window and worst class, by the weights of the scenario.
     pub service: f64,
-    /// Of the whole run.
+    /// Score of the whole run.
     pub whole: f64,
-    /// Of the worst window.
+    /// Score of the worst window.
     pub worst_window: f64,
-    /// Of the worst class.
+    /// Score of the worst class.
     pub worst_class: f64,
-    /// Every window, a second apart.
+    /// Score of each sliding window; windows start one second apart.
     pub windows: Vec<Window>,
-    /// Every class.
+    /// Results of each class.
     pub classes: Vec<ClassReport>,
-    /// Jobs asked for.
+    /// Jobs submitted.
     pub jobs: usize,
     /// Jobs served, in time or not.
     pub served: usize,
-    /// Refusals; a client may try again after one.
+    /// Refusals; a client may retry after one.
     pub refused: u64,
-    /// Failures.
+    /// Failures: a client received neither a result nor a refusal.
     pub failed: u64,
-    /// Tries after the first.
+    /// Retries by clients.
     pub retries: u64,
-    /// Call attempts.
+    /// Call attempts sent to log workers.
     pub sent: u64,
-    /// Attempts turned away unseen.
+    /// Attempts that a log worker turned away before it started them.
     pub turned_away: u64,
-    /// Attempts that ended with their connection, or got none.
+    /// Attempts that failed because their connection broke or could not be opened.
     pub broken_connections: u64,
-    /// Attempts sent to another zone.
+    /// Attempts sent to a log worker of another zone.
     pub cross_zone: u64,
     /// Connections opened.
     pub openings: u64,
-    /// Probes sent.
+    /// Probes sent to log workers.
     pub probes: u64,
-    /// Archives fetched.
+    /// Archives fetched from the store.
     pub fetches: u64,
-    /// Jobs started at a log worker.
+    /// Jobs that a log worker started.
     pub starts: u64,
-    /// Cold log workers that fell over.
+    /// Overloads of log workers in slow start.
     pub falls: u64,
-    /// Mean time to an answer, from when the client meant to send.
+    /// Mean latency, from when the client intended to send.
     pub mean_ms: f64,
-    /// Median time to an answer, from when the client meant to send.
+    /// Median latency, from when the client intended to send.
     pub p50_ms: f64,
-    /// The 99th percentile of it.
+    /// 99th percentile of the latency.
     pub p99_ms: f64,
-    /// How unevenly work was spread: deviation over mean of the log workers' work.
+    /// Imbalance of work: coefficient of variation over the log workers.
     pub spread: f64,
-    /// How often each rule was broken.
+    /// Violations of each rule.
     pub rules: BTreeMap<String, u64>,
-    /// What broke first, in words.
+    /// Descriptions of the first violations.
     pub first_broken: Vec<String>,
 }
 
 impl Report {
-    /// Whether all rules were kept.
+    /// Whether no rule was violated.
     pub fn keeps_rules(&self) -> bool {
-        self.rules.values().all(|broken| *broken == 0)
+        self.rules.values().all(|violations| *violations == 0)
     }
 
-    /// The part of starts that found their archive there.
+    /// Fraction of started jobs that found their archive in the log worker's cache.
     pub fn hit_ratio(&self) -> f64 {
         1.0 - self.fetches as f64 / self.starts.max(1) as f64
     }
 }
 
-/// How unevenly something is spread: deviation over mean.
+/// Coefficient of variation: standard deviation over mean, or 0 if the mean is not positive.
 pub fn coefficient_of_variation(values: &[f64]) -> f64 {
     let count = values.len().max(1) as f64;
     let mean = values.iter().sum::<f64>() / count;
-    let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / count;
+    let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / count;
     if mean > 0.0 {
         variance.sqrt() / mean
     } else {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -306,7 +306,7 @@
 
 fn paper(seeds: u64) -> Result<(), String> {
     let seeds: Vec<u64> = (1..=seeds.max(1)).collect();
-    for (name, kept) in paper::KEPT {
+    for (name, kept) in paper::CACHE_SIZES {
         let scenario = paper::scenario(kept).map_err(|problem| told(&problem))?;
         let reports = run_all(&scenario, &paper::POLICIES, &seeds).map_err(|error| error.to_string())?;
         say(&format!(
