--- a/crates/emulator/src/journal.rs
+++ b/crates/emulator/src/journal.rs
@@ -1,8 +1,7 @@
-//! What the bench has written down: the scores of each day under each program, and what chance alone would do.
+//! Reader of the bench's journal: the scores of each day by program, and the noise of these scores.
 //!
 //! One program on one day has scored 0.25 to 0.86, so a single score says little. This reads every run in the
-//! journal, puts runs of one day by one program together, and says of a change of the score whether the plays
-//! support it.
+//! journal, groups runs of one day by one program, and reports whether a change of the score exceeds the noise.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -10,17 +9,17 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The bound on a fall of the score.
+/// Largest accepted drop of the score from one run of the bench to the next.
 pub const SCORE_DROP_BOUND: f64 = 0.03;
 
-/// Why a journal could not be read.
+/// A journal could not be read.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The folder or a file cannot be read.
+    /// I/O error of the folder or of a file.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
-    /// A file is no entry.
-    #[error("{0}: found no entry of the bench: {1}")]
+    /// The contents of a file are not an entry of the bench.
+    #[error("{0}: expected a journal entry of the bench: {1}")]
     Format(PathBuf, serde_json::Error),
 }
 
@@ -55,47 +54,47 @@
     rules: BTreeMap<String, serde_json::Value>,
 }
 
-/// One play of a day.
+/// The result of one program on one day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DayRun {
-    /// The run that it belongs to.
+    /// Id of the journal entry that it belongs to.
     pub run: String,
-    /// What was played: the kind and its seed.
+    /// The kind of day and its seed.
     pub day: String,
-    /// The program: a short name of its text.
+    /// The program: short hashes from the `node_sha` and `policy` fields of the entry.
     pub program: String,
-    /// 0 to 1.
+    /// Score from 0 to 1.
     pub score: f64,
-    /// Rules broken on it.
+    /// Rule violations on that day.
     pub broken: u64,
 }
 
-/// A score of all days.
+/// The total score of a run of the bench over its days.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Total {
-    /// The run.
+    /// Id of the journal entry.
     pub run: String,
-    /// The program.
+    /// The program, as in [`DayRun`].
     pub program: String,
-    /// 0 to 1.
+    /// Score from 0 to 1.
     pub score: f64,
-    /// The days that it is made of.
+    /// The days that it covers.
     pub days: Vec<String>,
 }
 
-/// Everything that the bench has written down, in the order of its runs.
+/// All results of the bench, in the order of its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Journal {
-    /// Plays of single days and of the days of scores.
+    /// Results of single days, among them the days of total scores.
     pub runs: Vec<DayRun>,
-    /// Scores.
+    /// Total scores.
     pub totals: Vec<Total>,
 }
 
-/// Reads a folder of entries.
+/// Reads the JSON files of a folder of journal entries.
 ///
 /// # Errors
-/// Names the file that cannot be read.
+/// The folder or a file cannot be read, or a file is not an entry; the error names it.
 pub fn read(folder: &Path) -> Result<Journal, JournalError> {
     let io = |path: &Path| {
         let path = path.to_path_buf();
@@ -108,88 +107,90 @@
             files.push(path);
         }
     }
-    // Their names begin with the time.
+    // File names begin with the time, so that this is the order of the runs.
     files.sort();
     let mut journal = Journal::default();
     for path in files {
         let text = std::fs::read_to_string(&path).map_err(io(&path))?;
-        let raw: Entry = serde_json::from_str(&text).map_err(|error| JournalError::Format(path, error))?;
-        journal.add_entry(raw);
+        let entry: Entry = serde_json::from_str(&text).map_err(|error| JournalError::Format(path, error))?;
+        journal.add_entry(entry);
     }
     Ok(journal)
 }
 
 impl Journal {
-    fn add_entry(&mut self, raw: Entry) {
-        if !raw.cmd.starts_with("real") {
+    fn add_entry(&mut self, entry: Entry) {
+        if !entry.cmd.starts_with("real") {
             return;
         }
-        let sha = raw.node_sha.as_deref().unwrap_or("-");
-        let policy = raw.policy.first().map_or("-", |policy| policy.sha256.as_str());
+        let sha = entry.node_sha.as_deref().unwrap_or("-");
+        let policy = entry.policy.first().map_or("-", |policy| policy.sha256.as_str());
         let short = |text: &str| text.chars().take(6).collect::<String>();
         let program = format!("{}/{}", short(sha), short(policy));
         let mut days = Vec::new();
-        for day in &raw.days {
+        for day in &entry.days {
             let (Some(name), Some(score)) = (&day.name, day.score) else { continue };
             let day_name = format!("{name} {}", day.seed.unwrap_or(0));
             let broken = day.rules.values().filter_map(serde_json::Value::as_u64).sum();
             days.push(day_name.clone());
             self.runs.push(DayRun {
-                run: raw.id.clone(),
+                run: entry.id.clone(),
                 day: day_name,
                 program: program.clone(),
                 score,
                 broken,
             });
         }
-        if let Some(score) = raw.figures.get("real_score").and_then(serde_json::Value::as_f64) {
-            self.totals.push(Total { run: raw.id, program, score, days });
+        if let Some(score) = entry.figures.get("real_score").and_then(serde_json::Value::as_f64) {
+            self.totals.push(Total { run: entry.id, program, score, days });
         }
     }
 
-    /// The runs of each day, and within it of each program, both in the order of their names.
+    /// Scores by day and by program, both sorted by name.
     pub fn by_day(&self) -> BTreeMap<&str, BTreeMap<&str, Vec<f64>>> {
         let mut days: BTreeMap<&str, BTreeMap<&str, Vec<f64>>> = BTreeMap::new();
-        for play in &self.runs {
-            days.entry(&play.day).or_default().entry(&play.program).or_default().push(play.score);
+        for run in &self.runs {
+            days.entry(&run.day).or_default().entry(&run.program).or_default().push(run.score);
         }
         days
     }
 
-    /// How far the runs of a day by one program lie apart, over all programs that played it twice: the deviation.
+    /// Standard deviation of the scores of one program on this day, pooled over all programs that ran it at least
+    /// twice.
     pub fn day_deviation(&self, day: &str) -> Option<f64> {
         let days = self.by_day();
         let groups: Vec<&Vec<f64>> = days.get(day)?.values().filter(|runs| runs.len() > 1).collect();
-        let free: usize = groups.iter().map(|runs| runs.len() - 1).sum();
-        let squares: f64 = groups.iter().map(|runs| squares(runs)).sum();
-        (free > 0).then(|| (squares / free as f64).sqrt())
+        let degrees_of_freedom: usize = groups.iter().map(|runs| runs.len() - 1).sum();
+        let squares: f64 = groups.iter().map(|runs| squared_deviations(runs)).sum();
+        (degrees_of_freedom > 0).then(|| (squares / degrees_of_freedom as f64).sqrt())
     }
 
-    /// What chance does to a score of these days, as a deviation: the site's figure is 0.7 times their mean and 0.3
-    /// times the mean of the worst third. Days that were not played twice count with the mean of the others.
+    /// Standard deviation of a total score of these days. The total is 0.7 times the mean of the days plus 0.3 times
+    /// the mean of the worst third. Days without repeated runs count with the mean deviation of the others.
     pub fn total_deviation(&self, total: &Total) -> Option<f64> {
         let known: Vec<f64> = total.days.iter().filter_map(|day| self.day_deviation(day)).collect();
         if known.is_empty() || total.days.is_empty() {
             return None;
         }
-        let usual = known.iter().sum::<f64>() / known.len() as f64;
-        let of = |day: &String| self.day_deviation(day).unwrap_or(usual);
+        let mean_known = known.iter().sum::<f64>() / known.len() as f64;
+        let deviation = |day: &String| self.day_deviation(day).unwrap_or(mean_known);
         let count = total.days.len() as f64;
         let worst = (count / 3.0).ceil();
-        // Any of them may be among the worst third; taken evenly, a day has this weight.
-        let squares: f64 = total.days.iter().map(|day| of(day).powi(2)).sum();
+        // Any day may be among the worst third. If all are equally likely to be, each day has this weight.
+        let squares: f64 = total.days.iter().map(|day| deviation(day).powi(2)).sum();
         let whole = 0.7 / count;
         let third = 0.3 / worst * (worst / count).sqrt();
         Some((squares * (whole + third).powi(2)).sqrt())
     }
 }
 
-fn squares(values: &[f64]) -> f64 {
+/// Sum of squared deviations from the mean.
+fn squared_deviations(values: &[f64]) -> f64 {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     values.iter().map(|value| (value - mean).powi(2)).sum()
 }
 
-/// A table of the days, and of the scores with what changed from one to the next.
+/// Formats a table of the days, and one of the total scores with the change from one to the next.
 pub fn render(journal: &Journal) -> String {
     let mut text =
         String::from("day                                  program         plays   mean  least   most\n");
@@ -201,32 +202,39 @@
             let count = runs.len();
             text.push_str(&format!("{day:<36} {program:<15} {count:>5}  {mean:.3}  {least:.3}  {most:.3}\n"));
         }
-        if let Some(chance) = journal.day_deviation(day) {
-            text.push_str(&format!("{day:<36} {:<15} deviation of one program's runs {chance:.3}\n", ""));
+        if let Some(deviation) = journal.day_deviation(day) {
+            text.push_str(&format!(
+                "{day:<36} {:<15} standard deviation of one program's runs {deviation:.3}\n",
+                ""
+            ));
         }
     }
     text.push_str("\nscore      program          days  score  change\n");
     let mut last: Option<&Total> = None;
     for total in &journal.totals {
-        // Scores of other days are no measure for each other.
+        // Scores over different numbers of days are not comparable.
         let earlier = last.filter(|last| last.days.len() == total.days.len());
         let verdict = earlier.map_or_else(String::new, |earlier| {
             let change = total.score - earlier.score;
-            let chance = journal.total_deviation(total).map(|one| one * std::f64::consts::SQRT_2);
-            let told = match chance {
+            // The change is a difference of two scores, which have this deviation each.
+            let deviation = journal.total_deviation(total).map(|one| one * std::f64::consts::SQRT_2);
+            let finding = match deviation {
                 _ if change >= -SCORE_DROP_BOUND => String::new(),
-                Some(chance) if change.abs() < 2.0 * chance => {
+                Some(deviation) if change.abs() < 2.0 * deviation => {
                     format!(
-                        ": below the bound, within chance ({:.3} is two deviations): play it again",
-                        2.0 * chance
+                        ": below the bound, within noise (two standard deviations are {:.3}): run it again",
+                        2.0 * deviation
                     )
                 }
-                Some(chance) => {
-                    format!(": below the bound, beyond chance ({:.3} is two deviations)", 2.0 * chance)
+                Some(deviation) => {
+                    format!(
+                        ": below the bound, beyond noise (two standard deviations are {:.3})",
+                        2.0 * deviation
+                    )
                 }
-                None => ": below the bound; no day was played twice, so chance is not known".into(),
+                None => ": below the bound; no day was run twice, so the noise is not known".into(),
             };
-            format!("{change:+.3}{told}")
+            format!("{change:+.3}{finding}")
         });
         let days = total.days.len();
         text.push_str(&format!(
@@ -235,10 +243,10 @@
         ));
         last = Some(total);
     }
-    let broken: Vec<&DayRun> = journal.runs.iter().filter(|play| play.broken > 0).collect();
-    text.push_str(&format!("\nplays with a broken rule: {}\n", broken.len()));
-    for play in broken {
-        text.push_str(&format!("  {} {} {}\n", play.run, play.day, play.program));
+    let broken: Vec<&DayRun> = journal.runs.iter().filter(|run| run.broken > 0).collect();
+    text.push_str(&format!("\nruns with a broken rule: {}\n", broken.len()));
+    for run in broken {
+        text.push_str(&format!("  {} {} {}\n", run.run, run.day, run.program));
     }
     text
 }
@@ -273,17 +281,17 @@
     }
 
     #[test]
-    fn a_fall_is_told_with_what_chance_would_do() {
+    fn drop_of_the_score_is_compared_with_the_noise() {
         let wide = [("rude 1", "p", 0.25), ("rude 1", "p", 0.86)];
         let narrow = [("rude 1", "p", 0.80), ("rude 1", "p", 0.81)];
-        assert!(render(&journal(&[0.74, 0.68], &wide)).contains("within chance"));
-        assert!(render(&journal(&[0.74, 0.68], &narrow)).contains("beyond chance"));
+        assert!(render(&journal(&[0.74, 0.68], &wide)).contains("within noise"));
+        assert!(render(&journal(&[0.74, 0.68], &narrow)).contains("beyond noise"));
         assert!(!render(&journal(&[0.74, 0.72], &narrow)).contains("below the bound"));
         assert!(render(&journal(&[0.74, 0.68], &[])).contains("not known"));
     }
 
     #[test]
-    fn plays_of_different_programs_do_not_count_as_chance() {
+    fn runs_of_different_programs_do_not_count_as_noise() {
         let apart = [("rude 1", "old", 0.8), ("rude 1", "new", 0.2)];
         assert_eq!(journal(&[], &apart).day_deviation("rude 1"), None);
         let both =
--- a/crates/emulator/src/policy/faulty.rs
+++ b/crates/emulator/src/policy/faulty.rs
@@ -1,4 +1,4 @@
-//! Policies with one fault each. A checker that none of them trips would check nothing.
+//! Policies with one fault each. They test the checkers: a checker that no policy violates verifies nothing.
 
 use std::collections::BTreeSet;
 
@@ -9,20 +9,20 @@
 
 use super::{Baseline, BaselinePolicy, Policy, SharedGroundTruth};
 
-/// A fault, and the rule that it breaks.
+/// The fault of a faulty policy. Each breaks one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// One answer in ten is forgotten.
+    /// Loses one refusal or failure in ten.
     LosesAnswers,
-    /// An attempt that broke is repeated, whatever the class.
+    /// Repeats a broken attempt even if the class is unsafe to repeat.
     RepeatsUnsafe,
-    /// Drains are not heard of.
+    /// Ignores that a log worker drains.
     IgnoresDrain,
-    /// Starts are not heard of: a cold log worker is the idlest of all, and gets everything.
+    /// Ignores slow start: a newly started log worker is the least loaded, and gets all jobs.
     IgnoresSlowStart,
 }
 
-/// A policy with this fault.
+/// Creates a policy with this fault.
 pub(super) fn build(
     fault: Fault,
     settings: &Settings,
@@ -32,18 +32,18 @@
 ) -> Result<Box<dyn Policy>, SettingsError> {
     let mut settings = settings.clone();
     Ok(match fault {
-        Fault::LosesAnswers => Box::new(Forgets {
+        Fault::LosesAnswers => Box::new(LosesAnswers {
             inner: Dispatcher::new(settings, seed)?,
             answers: 0,
-            forgotten: BTreeSet::new(),
+            lost: BTreeSet::new(),
         }),
         Fault::RepeatsUnsafe => {
             settings.classes.iter_mut().for_each(|class| class.effect = Effect::Safe);
-            // Copies would break the rule on calm days too; it is to be the repeat after a break.
+            // Hedging would break the rule without incidents too; only the repeat after a broken attempt should.
             settings.limits.second_copies = false;
             Box::new(Dispatcher::new(settings, seed)?)
         }
-        Fault::IgnoresDrain => Box::new(Deaf { inner: Dispatcher::new(settings, seed)? }),
+        Fault::IgnoresDrain => Box::new(IgnoresDrain { inner: Dispatcher::new(settings, seed)? }),
         Fault::IgnoresSlowStart => {
             settings.rules.ramp = Span(0);
             Box::new(BaselinePolicy::new(Baseline::LeastLoaded, settings, rng, truth.clone()))
@@ -51,13 +51,13 @@
     })
 }
 
-struct Forgets {
+struct LosesAnswers {
     inner: Dispatcher,
     answers: u64,
-    forgotten: BTreeSet<RequestId>,
+    lost: BTreeSet<RequestId>,
 }
 
-impl Policy for Forgets {
+impl Policy for LosesAnswers {
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let from = out.len();
         self.inner.handle(now, event, out);
@@ -70,7 +70,7 @@
             if let Some(request) = ends {
                 self.answers += 1;
                 if self.answers.is_multiple_of(10) {
-                    self.forgotten.insert(request);
+                    self.lost.insert(request);
                     out.remove(at);
                     continue;
                 }
@@ -80,24 +80,24 @@
     }
 }
 
-struct Deaf {
+struct IgnoresDrain {
     inner: Dispatcher,
 }
 
-impl Policy for Deaf {
+impl Policy for IgnoresDrain {
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let event = match event {
             Event::List { scope, entries } => {
-                let heard = entries.iter().map(|entry| {
+                let entries = entries.iter().map(|entry| {
                     let mut entry = entry.clone();
                     if entry.readiness == Readiness::Draining {
                         entry.readiness = Readiness::InService;
                     }
                     entry
                 });
-                Event::List { scope, entries: heard.collect() }
+                Event::List { scope, entries: entries.collect() }
             }
-            // It goes on sending there, however often it is turned away.
+            // A turned-away attempt counts as not sent, so that the policy keeps sending to the draining log worker.
             Event::Outcome(mut end) if end.outcome == Outcome::TurnedAway => {
                 end.outcome = Outcome::NotSent;
                 Event::Outcome(end)
--- a/crates/emulator/src/policy/mod.rs
+++ b/crates/emulator/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! What decides: the project's own decisions, others to compare them with, and bad ones that show that each checker
-//! can trip. All of them speak the interface of the decisions.
+//! Routing policies: the project's own decisions, textbook policies for comparison, and faulty ones that show that
+//! each checker detects its violation. All of them share the interface of the decisions.
 
 mod baseline;
 mod faulty;
@@ -13,9 +13,9 @@
 pub use baseline::{Baseline, BaselinePolicy};
 pub use faulty::Fault;
 
-/// Decides for one dispatcher.
+/// The decision logic of one dispatcher.
 pub trait Policy {
-    /// Takes one event and pushes what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 }
 
@@ -25,34 +25,36 @@
     }
 }
 
-/// The true state of all log workers, for the one policy that no installation could have.
+/// The true state of all log workers. Only the reference policy [`Baseline::Top`] reads it; a real dispatcher has no
+/// access to this state.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
-    /// For each log worker, by number: seconds until it would be idle, were its cores always full.
+    /// By log worker number: seconds until it would be idle with all cores in use.
     pub backlog: Vec<f64>,
-    /// Work that a cold one still bears in the span of the fall-over rule, in seconds of a core; none if warm.
+    /// By log worker number: work in core-seconds that it can still receive within the overload window while in slow
+    /// start; none at full speed.
     pub slow_start_budget: Vec<Option<f64>>,
-    /// The archives that it keeps.
+    /// By log worker number: the archives in its cache.
     pub archives: Vec<Vec<u64>>,
-    /// Whether it takes work.
+    /// By log worker number: whether it accepts jobs.
     pub accepts_work: Vec<bool>,
 }
 
-/// A view of the truth that the model keeps up to date.
+/// The ground truth, shared with the model that updates it.
 pub type SharedGroundTruth = Rc<RefCell<GroundTruth>>;
 
-/// A policy by its name.
+/// A policy to run a scenario with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// The project's own.
+    /// The project's own decisions.
     Ours,
-    /// Another way to choose.
+    /// A textbook policy.
     Baseline(Baseline),
-    /// Ours, with a fault that breaks one rule.
+    /// A policy with a fault that breaks one rule.
     Faulty(Fault),
 }
 
-/// All policies that are worth comparing, by name.
+/// All policies by the name that the command line and reports use.
 pub const NAMED: &[(&str, PolicyKind)] = &[
     ("ours", PolicyKind::Ours),
     ("random", PolicyKind::Baseline(Baseline::Random)),
@@ -70,20 +72,20 @@
 ];
 
 impl PolicyKind {
-    /// Its name.
+    /// The name that the command line and reports use.
     pub fn name(self) -> &'static str {
         NAMED.iter().find(|(_, kind)| *kind == self).map_or("?", |(name, _)| name)
     }
 
-    /// The policy of this name.
+    /// Looks a policy up by its name.
     pub fn named(name: &str) -> Option<PolicyKind> {
         NAMED.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind)
     }
 
-    /// One for a dispatcher.
+    /// Creates the policy for one dispatcher.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn build(
         self,
         settings: &Settings,
@@ -93,8 +95,8 @@
     ) -> Result<Box<dyn Policy>, SettingsError> {
         Ok(match self {
             PolicyKind::Ours => Box::new(Dispatcher::new(settings.clone(), seed)?),
-            PolicyKind::Baseline(way) => {
-                Box::new(BaselinePolicy::new(way, settings.clone(), rng, truth.clone()))
+            PolicyKind::Baseline(baseline) => {
+                Box::new(BaselinePolicy::new(baseline, settings.clone(), rng, truth.clone()))
             }
             PolicyKind::Faulty(fault) => faulty::build(fault, settings, seed, rng, truth)?,
         })
