--- a/crates/emulator/src/journal.rs
+++ b/crates/emulator/src/journal.rs
@@ -165,8 +165,9 @@
         (degrees_of_freedom > 0).then(|| (squares / degrees_of_freedom as f64).sqrt())
     }
 
-    /// Standard deviation of a total score of these days. The total is 0.7 times the mean of the days plus 0.3 times
-    /// the mean of the worst third. Days without repeated runs count with the mean deviation of the others.
+    /// Standard deviation of a total score of these days. The site defines the total as 0.7 times the mean of the
+    /// days plus 0.3 times the mean of the worst third. Days without repeated runs count with the mean deviation of
+    /// the others.
     pub fn total_deviation(&self, total: &Total) -> Option<f64> {
         let known: Vec<f64> = total.days.iter().filter_map(|day| self.day_deviation(day)).collect();
         if known.is_empty() || total.days.is_empty() {
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! A demo: a fleet, dispatchers and load with nothing configured, something that breaks, and a table that lives.
+//! The demo: starts a fleet, dispatchers and load without configuration, injects failures, and shows live figures.
 
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -17,9 +17,9 @@
 use rookspoke_emulator::script;
 use rookspoke_rig::play::{Options, Rig};
 
-use crate::processes::{code, program, runtime, told};
+use crate::processes::{exit_status, outcome_text, program, runtime};
 
-/// Deadlines are short, so that the last answer is there in time.
+/// Deadlines are short, so that the last answer arrives before the demo's time limit.
 const SCRIPT: &str = "length 16s
 dispatchers 6
 workers 12
@@ -41,107 +41,108 @@
 incident kill at 5s for 2s part 0.34
 incident crash at 9s for 4s part 0.25
 ";
-/// How often the table is drawn.
+/// Interval between updates of the table.
 const FRAME: Duration = Duration::from_millis(250);
-/// What a key breaks is drawn by numbers from here on.
-const FIRST_KEY: usize = 1000;
+/// First number of the incidents that keys trigger. An incident's number determines the random choice of whom it
+/// affects, and those of the script count from 0.
+const FIRST_KEY_INCIDENT: usize = 1000;
 
-/// What a demo is told.
+/// Arguments of `demo`.
 #[derive(Args, Debug)]
-pub struct Demo {
-    /// The page with its plots
+pub struct DemoArgs {
+    /// Write a page with tables and plots to this file
     #[arg(long, value_name = "FILE", default_value = "rookspoke-demo.html")]
     html: PathBuf,
-    /// For every draw
+    /// Seed of all random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The dispatcher's program; without it, `rookspoke` beside this one
+    /// Dispatcher program; without it, `rookspoke` in the folder of this program
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
 }
 
-/// Runs it.
+/// Runs the demo and returns the exit status of its verdict.
 ///
 /// # Errors
-/// It could not be started.
-pub fn run(what: &Demo) -> Result<u8, String> {
+/// The demo could not start or was interrupted, or the page could not be written.
+pub fn run(args: &DemoArgs) -> Result<u8, String> {
     let scenario =
         script::read_text("demo", SCRIPT, Environment::Processes).map_err(|problems| problems.render())?;
     let options = Options {
-        program: program(what.program.as_deref())?,
-        seed: what.seed,
+        program: program(args.program.as_deref())?,
+        seed: args.seed,
         patience: Duration::from_secs(15),
         faults: None,
     };
     runtime()?.block_on(async {
         let rig = Rig::start(scenario, options).await.map_err(|error| error.to_string())?;
-        let played = {
+        let run = {
             let rig = rig.clone();
             tokio::spawn(async move { rig.play().await })
         };
-        let shown = watch(&rig, played).await?;
-        if !shown {
+        let finished = show_figures(&rig, run).await?;
+        if !finished {
             return Err("interrupted".into());
         }
         let outcome = rig.outcome().await;
         let page = plot::html_report("demo", &rig.scenario, std::slice::from_ref(&outcome.report))
             .map_err(|error| error.to_string())?;
-        crate::write(&what.html, &page)?;
+        crate::write(&args.html, &page)?;
         let report = &outcome.report;
-        crate::say(&format!(
-            "service {:.3}: {} jobs, {} served, {} refused, {} failed\n{}its page is {}\n",
+        crate::print_text(&format!(
+            "service {:.3}: {} jobs, {} served, {} refused, {} failed\n{}page: {}\n",
             report.service,
             report.jobs,
             report.served,
             report.refused,
             report.failed,
-            told(&outcome),
-            what.html.display()
+            outcome_text(&outcome),
+            args.html.display()
         ));
-        Ok(code(outcome.verdict))
+        Ok(exit_status(outcome.verdict))
     })
 }
 
-type Played = tokio::task::JoinHandle<Result<(), rookspoke_rig::dispatcher::StartError>>;
+type RunTask = tokio::task::JoinHandle<Result<(), rookspoke_rig::dispatcher::StartError>>;
 
-/// Shows how it goes until the play is over. False where somebody ended it before.
-async fn watch(rig: &Arc<Rig>, played: Played) -> Result<bool, String> {
+/// Shows live figures until the run ends, and passes keys on. Returns false if the user ended it early.
+async fn show_figures(rig: &Arc<Rig>, run: RunTask) -> Result<bool, String> {
     let mut terminal = std::io::stdout()
         .is_terminal()
         .then(|| ratatui::init_with_options(TerminalOptions { viewport: Viewport::Inline(10) }));
     let start = Instant::now();
-    let mut next_key = FIRST_KEY;
-    let mut keeps_on = true;
-    while keeps_on && !played.is_finished() {
+    let mut next_incident = FIRST_KEY_INCIDENT;
+    let mut continues = true;
+    while continues && !run.is_finished() {
         tokio::time::sleep(FRAME).await;
         match &mut terminal {
             Some(terminal) => {
                 draw(terminal, rig, start.elapsed());
-                keeps_on = keys(rig, &mut next_key);
+                continues = handle_keys(rig, &mut next_incident);
             }
-            None if start.elapsed().subsec_millis() < 250 => crate::say(&format!("{}\n", line(rig))),
+            None if start.elapsed().subsec_millis() < 250 => crate::print_text(&format!("{}\n", line(rig))),
             None => {}
         }
     }
     if terminal.is_some() {
         ratatui::restore();
     }
-    if !keeps_on {
-        played.abort();
+    if !continues {
+        run.abort();
         return Ok(false);
     }
-    match played.await {
+    match run.await {
         Ok(done) => done.map(|()| true).map_err(|error| error.to_string()),
         Err(error) => Err(error.to_string()),
     }
 }
 
-/// What a key asks for. False where it is to end.
-fn keys(rig: &Arc<Rig>, next: &mut usize) -> bool {
+/// Starts an incident for each key pressed. Returns false if a key ends the demo.
+fn handle_keys(rig: &Arc<Rig>, next_incident: &mut usize) -> bool {
     while event::poll(Duration::ZERO).unwrap_or(false) {
         let Ok(Event::Key(key)) = event::read() else { continue };
         let control = key.modifiers.contains(KeyModifiers::CONTROL);
-        let (kind, secs, of) = match key.code {
+        let (kind, secs, targets) = match key.code {
             KeyCode::Char('q') => return false,
             KeyCode::Char('c') if control => return false,
             KeyCode::Char('k') => (IncidentKind::Kill, 2, rig.dispatchers.len()),
@@ -150,10 +151,15 @@
             KeyCode::Char('d') => (IncidentKind::DiscoveryGone, 3, 1),
             _ => continue,
         };
-        let incident =
-            Incident { kind, at: Span(0), length: Span(secs * 1_000_000), part: 1.0 / of as f64, size: 0.0 };
-        let (rig, number) = (rig.clone(), *next);
-        *next += 1;
+        let incident = Incident {
+            kind,
+            at: Span(0),
+            length: Span(secs * 1_000_000),
+            part: 1.0 / targets as f64,
+            size: 0.0,
+        };
+        let (rig, number) = (rig.clone(), *next_incident);
+        *next_incident += 1;
         tokio::spawn(async move { rig.incident(number, &incident).await });
     }
     true
@@ -180,11 +186,11 @@
 fn draw(terminal: &mut DefaultTerminal, rig: &Rig, since: Duration) {
     let rows = figures(rig).map(|(name, value)| Row::new([name.to_owned(), value]));
     let title = format!(
-        " {:.0} s - k kills, s stalls a dispatcher, w crashes a log worker, d discovery, q ends ",
+        " {:.0} s - k kills, s suspends a dispatcher, w crashes a log worker, d stops discovery, q quits ",
         since.as_secs_f64()
     );
     let table = Table::new(rows, [Constraint::Length(24), Constraint::Min(20)]);
     let table = table.block(Block::bordered().title(title));
-    // A terminal that cannot be drawn on any more ends nothing.
+    // The run continues even if the terminal is gone.
     let _ = terminal.draw(|frame| frame.render_widget(table, frame.area()));
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! Plays scenarios: one run, several policies side by side, sweeps, and comparisons of what was kept.
+//! Command line of the lab: runs scenarios in the emulator or with real processes, sweeps parameters, and compares
+//! saved reports.
 
 mod demo;
 mod processes;
@@ -17,7 +18,7 @@
 use rookspoke_emulator::script;
 use rookspoke_emulator::{paper, plot};
 
-/// Rehearses incidents of the fleet in simulated time.
+/// Simulates incidents of the fleet, or rehearses them with real processes.
 #[derive(Debug, Parser)]
 #[command(name = "rookspoke-lab", version)]
 struct Cli {
@@ -27,72 +28,72 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play a scenario with one or more policies, and print a row for each
+    /// Run a scenario in the emulator with one or more policies, and print a row for each
     Run {
         #[command(flatten)]
-        what: What,
+        args: RunArgs,
         #[command(flatten)]
-        files: Files,
-        /// Print the windows of each run
+        files: OutputFiles,
+        /// Print the service of every window of each run
         #[arg(long)]
         windows: bool,
     },
-    /// Play a script with real dispatchers, each a process, and stand-ins for all that they meet
-    Rehearse(processes::Rehearse),
-    /// Start a fleet, dispatchers and load, break something, and show how it goes: under 30 s
-    Demo(demo::Demo),
-    /// Start log workers and discovery alone, for dispatchers that are started by hand
-    Fleet(processes::Fleet),
-    /// Hand in jobs at dispatchers that run, over a fleet of `fleet`
-    Load(processes::Clients),
-    /// Play a scenario for each value of a parameter
+    /// Run a script with real dispatcher processes, and stand-ins for everything that they connect to
+    Rehearse(processes::RehearseArgs),
+    /// Start a fleet, dispatchers and load, inject failures and show live figures; takes less than 30 s
+    Demo(demo::DemoArgs),
+    /// Start only log workers and discovery, for dispatchers that are started manually
+    Fleet(processes::FleetArgs),
+    /// Send jobs to running dispatchers that use a fleet started by `fleet`
+    Load(processes::LoadArgs),
+    /// Run a scenario in the emulator for each value of a parameter
     Sweep {
         #[command(flatten)]
-        what: What,
-        /// The parameter and its values, such as `workers=12,120`
+        args: RunArgs,
+        /// Parameter and its values, such as `workers=12,120`
         #[arg(long, value_name = "NAME=VALUE,...", value_parser = pair)]
         over: (String, String),
     },
-    /// Play the experiment of the paper that the design goes back to
+    /// Run the experiment of the paper that the design is based on
     Paper {
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 8)]
         seeds: u64,
     },
-    /// Say what changed between two files of reports, and whether the seeds support it
+    /// Print the changes between two files of reports, and whether they are significant over the seeds
     Compare {
-        /// The earlier one
+        /// Earlier file of reports
         before: PathBuf,
-        /// The later one
+        /// Later file of reports
         after: PathBuf,
     },
-    /// Say what the bench has written down, and which changes of the score are more than chance
+    /// Print the results in the bench's journal, and which changes of the score exceed the noise
     Journal {
-        /// The folder of its entries
+        /// Folder of the journal entries
         #[arg(default_value = "journal")]
         folder: PathBuf,
     },
-    /// Print every parameter and every kind of incident
+    /// Print all parameters and all kinds of incident
     Words,
 }
 
 #[derive(Args, Debug)]
-struct What {
-    /// A script; without one, a calm day of twelve log workers
+struct RunArgs {
+    /// Script of the scenario; without one, twelve log workers and no incidents
     script: Option<PathBuf>,
-    /// The policies, parted by commas; `all` for all that keep the rules
+    /// Policies, separated by commas; `all` for all but the faulty ones
     #[arg(long, default_value = "ours")]
     policy: String,
-    /// How many seeds
+    /// Number of seeds
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// The first of them
+    /// First seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A parameter's value, before what the script says
+    /// Set a parameter; takes precedence over the script
     #[arg(long, value_name = "NAME=VALUE", value_parser = pair)]
     set: Vec<(String, String)>,
-    /// Threads; without it, one for each core
+    /// Number of threads; without it, one for each core
     #[arg(long)]
     threads: Option<usize>,
 }
@@ -102,25 +103,25 @@
     Ok((name.trim().into(), value.trim().into()))
 }
 
-/// What was asked for makes no sense.
+/// Exit status of an invalid request or of a command that could not be run.
 const BAD_INPUT: u8 = 3;
 
 fn main() -> ExitCode {
     let done = match Cli::parse().command {
-        Command::Rehearse(what) => processes::rehearse(&what),
-        Command::Demo(what) => demo::run(&what),
-        Command::Fleet(what) => processes::fleet(&what),
-        Command::Load(what) => processes::load(&what),
-        Command::Run { what, files, windows } => run(&what, &files, windows).map(|()| 0),
-        Command::Sweep { what, over } => sweep(&what, &over).map(|()| 0),
+        Command::Rehearse(args) => processes::rehearse(&args),
+        Command::Demo(args) => demo::run(&args),
+        Command::Fleet(args) => processes::fleet(&args),
+        Command::Load(args) => processes::load(&args),
+        Command::Run { args, files, windows } => run(&args, &files, windows).map(|()| 0),
+        Command::Sweep { args, over } => sweep(&args, &over).map(|()| 0),
         Command::Compare { before, after } => compare_files(&before, &after).map(|()| 0),
         Command::Paper { seeds } => paper(seeds).map(|()| 0),
         Command::Journal { folder } => journal::read(&folder)
-            .map(|journal| say(&journal::render(&journal)))
+            .map(|journal| print_text(&journal::render(&journal)))
             .map(|()| 0)
             .map_err(|error| error.to_string()),
         Command::Words => {
-            say(&words());
+            print_text(&parameter_table());
             Ok(0)
         }
     };
@@ -133,13 +134,13 @@
     }
 }
 
-/// Prints, and does not mind a reader who has left.
-fn say(text: &str) {
+/// Writes to standard output. Errors are ignored, since a reader such as `head` may have closed the pipe.
+fn print_text(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// A script's scenario, or a calm day without one, with these parameters set.
-fn read(
+/// Reads the scenario of a script, or the default scenario without one, and sets these parameters.
+fn read_scenario(
     script: Option<&Path>,
     environment: Environment,
     parameters: &[(String, String)],
@@ -149,44 +150,45 @@
         None => Scenario::default(),
     };
     for (name, value) in parameters {
-        set_parameter(&mut scenario, name, value).map_err(|problem| told(&problem))?;
+        set_parameter(&mut scenario, name, value).map_err(|problem| problem_text(&problem))?;
     }
     Ok(scenario)
 }
 
-impl What {
+impl RunArgs {
     fn scenario(&self) -> Result<Scenario, String> {
-        read(self.script.as_deref(), Environment::Emulator, &self.set)
+        read_scenario(self.script.as_deref(), Environment::Emulator, &self.set)
     }
 
-    fn kinds(&self) -> Result<Vec<PolicyKind>, String> {
+    fn policies(&self) -> Result<Vec<PolicyKind>, String> {
         if self.policy == "all" {
-            let good = NAMED.iter().map(|(_, kind)| *kind);
-            return Ok(good.filter(|kind| !matches!(kind, PolicyKind::Faulty(_))).collect());
+            let all = NAMED.iter().map(|(_, kind)| *kind);
+            return Ok(all.filter(|kind| !matches!(kind, PolicyKind::Faulty(_))).collect());
         }
-        let named = |name: &str| {
+        let find_policy = |name: &str| {
             let known: Vec<&str> = NAMED.iter().map(|(name, _)| *name).collect();
             PolicyKind::named(name)
                 .ok_or_else(|| format!("found the policy `{name}`, expected one of {}", known.join(", ")))
         };
-        self.policy.split(',').map(|name| named(name.trim())).collect()
+        self.policy.split(',').map(|name| find_policy(name.trim())).collect()
     }
 
-    fn play(&self, scenario: &Scenario) -> Result<Vec<Report>, String> {
+    fn run(&self, scenario: &Scenario) -> Result<Vec<Report>, String> {
         let seeds: Vec<u64> = (self.seed..self.seed + self.seeds.max(1)).collect();
-        let kinds = self.kinds()?;
-        let play = || run_all(scenario, &kinds, &seeds).map_err(|error| error.to_string());
+        let policies = self.policies()?;
+        let run = || run_all(scenario, &policies, &seeds).map_err(|error| error.to_string());
         match self.threads {
-            None => play(),
+            None => run(),
             Some(threads) => {
                 let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build();
-                pool.map_err(|error| error.to_string())?.install(play)
+                pool.map_err(|error| error.to_string())?.install(run)
             }
         }
     }
 }
 
-fn told(problem: &rookspoke_conf::Problem) -> String {
+/// The message of a problem, with its hint.
+fn problem_text(problem: &rookspoke_conf::Problem) -> String {
     match &problem.help {
         Some(help) => format!("{} ({help})", problem.message),
         None => problem.message.clone(),
@@ -196,10 +198,11 @@
 const HEAD: &str = "policy           service  95 % interval    whole  window   class   late%  refused%  \
                     failed%   hits  spread   p99 ms  rules\n";
 
+/// One row of the table: the mean of a policy's reports over the seeds.
 fn row(reports: &[Report]) -> String {
-    let mean = |of: &dyn Fn(&Report) -> f64| reports.iter().map(of).sum::<f64>() / reports.len() as f64;
+    let mean = |value: &dyn Fn(&Report) -> f64| reports.iter().map(value).sum::<f64>() / reports.len() as f64;
     let service = estimate(&reports.iter().map(|r| r.service).collect::<Vec<_>>());
-    let part = |of: &dyn Fn(&Report) -> f64| 100.0 * mean(&|r| of(r) / r.jobs.max(1) as f64);
+    let percent = |count: &dyn Fn(&Report) -> f64| 100.0 * mean(&|r| count(r) / r.jobs.max(1) as f64);
     let late = |r: &Report| r.classes.iter().map(|c| c.late).sum::<usize>() as f64;
     let broken: Vec<String> = reports[0]
         .rules
@@ -220,9 +223,9 @@
         mean(&|r| r.whole),
         mean(&|r| r.worst_window),
         mean(&|r| r.worst_class),
-        part(&late),
-        part(&|r| r.refused as f64),
-        part(&|r| r.failed as f64),
+        percent(&late),
+        percent(&|r| r.refused as f64),
+        percent(&|r| r.failed as f64),
         mean(&Report::hit_ratio),
         mean(&|r| r.spread),
         mean(&|r| r.p99_ms),
@@ -233,10 +236,10 @@
     reports.chunk_by(|a, b| a.policy == b.policy).map(row).collect()
 }
 
-/// Where results go, beside the terminal.
+/// Files to write results to.
 #[derive(Args, Debug, Default)]
-struct Files {
-    /// Keep the reports in this file, as JSON
+struct OutputFiles {
+    /// Write the reports to this file, as JSON
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
     /// Write a page with tables and plots to this file
@@ -247,8 +250,8 @@
     svg: Option<PathBuf>,
 }
 
-impl Files {
-    /// Writes all that was asked for; a page is named after its script.
+impl OutputFiles {
+    /// Writes the requested files. The title of the page is the name of the script.
     fn write(&self, script: Option<&Path>, scenario: &Scenario, reports: &[Report]) -> Result<(), String> {
         if let Some(path) = &self.out {
             write(path, &serde_json::to_string(reports).map_err(|error| error.to_string())?)?;
@@ -258,7 +261,7 @@
         }
         if let Some(path) = &self.html {
             let title = script.and_then(Path::file_stem).map(|stem| stem.to_string_lossy());
-            let title = title.map_or_else(|| "a calm day".to_owned(), |stem| stem.replace('-', " "));
+            let title = title.map_or_else(|| "default scenario".to_owned(), |stem| stem.replace('-', " "));
             write(path, &plot::html_report(&title, scenario, reports).map_err(|error| error.to_string())?)?;
         }
         Ok(())
@@ -269,63 +272,73 @@
     std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn run(what: &What, files: &Files, windows: bool) -> Result<(), String> {
-    let scenario = what.scenario()?;
+fn run(args: &RunArgs, files: &OutputFiles, windows: bool) -> Result<(), String> {
+    let scenario = args.scenario()?;
     let start = Instant::now();
-    let reports = what.play(&scenario)?;
+    let reports = args.run(&scenario)?;
     let took = start.elapsed().as_secs_f64();
-    say(HEAD);
-    say(&rows(&reports));
+    print_text(HEAD);
+    print_text(&rows(&reports));
     if windows {
         for report in &reports {
-            say(&format!("{} seed {}, service by the start of each window:\n", report.policy, report.seed));
+            print_text(&format!(
+                "{} seed {}, service by the start of each window:\n",
+                report.policy, report.seed
+            ));
             let line: Vec<String> = report.windows.iter().map(|w| format!("{:.2}", w.service)).collect();
-            say(&format!("  {}\n", line.join(" ")));
+            print_text(&format!("  {}\n", line.join(" ")));
         }
     }
     for report in reports.iter().filter(|report| !report.keeps_rules()) {
-        say(&format!("{} seed {} broke rules:\n", report.policy, report.seed));
-        report.first_broken.iter().for_each(|sentence| say(&format!("  {sentence}\n")));
+        print_text(&format!("{} seed {} broke rules:\n", report.policy, report.seed));
+        report.first_broken.iter().for_each(|sentence| print_text(&format!("  {sentence}\n")));
     }
     let simulated = scenario.span("length").secs() * reports.len() as f64;
     let _ = writeln!(std::io::stderr(), "{simulated:.0} simulated seconds in {took:.2} s");
-    files.write(what.script.as_deref(), &scenario, &reports)
+    files.write(args.script.as_deref(), &scenario, &reports)
 }
 
-fn sweep(what: &What, (name, values): &(String, String)) -> Result<(), String> {
-    let base = what.scenario()?;
-    say(&format!("{name:<16} {HEAD}"));
+fn sweep(args: &RunArgs, (name, values): &(String, String)) -> Result<(), String> {
+    let base = args.scenario()?;
+    print_text(&format!("{name:<16} {HEAD}"));
     for value in values.split(',') {
         let mut scenario = base.clone();
-        set_parameter(&mut scenario, name, value.trim()).map_err(|problem| told(&problem))?;
-        let reports = what.play(&scenario)?;
-        rows(&reports).lines().for_each(|line| say(&format!("{:<16} {line}\n", value.trim())));
+        set_parameter(&mut scenario, name, value.trim()).map_err(|problem| problem_text(&problem))?;
+        let reports = args.run(&scenario)?;
+        rows(&reports).lines().for_each(|line| print_text(&format!("{:<16} {line}\n", value.trim())));
     }
     Ok(())
 }
 
 fn paper(seeds: u64) -> Result<(), String> {
     let seeds: Vec<u64> = (1..=seeds.max(1)).collect();
-    for (name, kept) in paper::CACHE_SIZES {
-        let scenario = paper::scenario(kept).map_err(|problem| told(&problem))?;
+    for (name, cache_size) in paper::CACHE_SIZES {
+        let scenario = paper::scenario(cache_size).map_err(|problem| problem_text(&problem))?;
         let reports = run_all(&scenario, &paper::POLICIES, &seeds).map_err(|error| error.to_string())?;
-        say(&format!(
-            "{name}, {kept} kept    hit ratio  95 % interval       c_v  95 % interval    mean ms\n"
+        print_text(&format!(
+            "{name}, {cache_size} kept    hit ratio  95 % interval       c_v  95 % interval    mean ms\n"
         ));
-        for of in reports.chunk_by(|a, b| a.policy == b.policy) {
-            let values = |get: Reading| estimate(&of.iter().map(get).collect::<Vec<_>>());
+        for runs in reports.chunk_by(|a, b| a.policy == b.policy) {
+            let values = |get: Reading| estimate(&runs.iter().map(get).collect::<Vec<_>>());
             let (hits, spread, mean) =
                 (values(Report::hit_ratio), values(|r| r.spread), values(|r| r.mean_ms));
-            say(&format!(
+            print_text(&format!(
                 "{:<16} {:>9.3}  {:.3} to {:.3} {:>9.3}  {:.3} to {:.3} {:>9.0}\n",
-                of[0].policy, hits.mean, hits.low, hits.high, spread.mean, spread.low, spread.high, mean.mean
+                runs[0].policy,
+                hits.mean,
+                hits.low,
+                hits.high,
+                spread.mean,
+                spread.low,
+                spread.high,
+                mean.mean
             ));
         }
     }
     Ok(())
 }
 
-/// One figure of a report.
+/// Reads one value from a report.
 type Reading = fn(&Report) -> f64;
 
 fn compare_files(before: &Path, after: &Path) -> Result<(), String> {
@@ -347,13 +360,13 @@
         let policy = &reports[0].policy;
         let earlier: Vec<Report> = before.iter().filter(|r| r.policy == *policy).cloned().collect();
         if earlier.is_empty() {
-            say(&format!("{policy}: only in the later file\n"));
+            print_text(&format!("{policy}: found only in the later file\n"));
             continue;
         }
-        for (name, of) in figures {
-            let change = compare(&earlier, reports, of).map_err(|error| format!("{policy}: {error}"))?;
-            let verdict = if change.excludes_zero() { "the seeds support it" } else { "within chance" };
-            say(&format!(
+        for (name, value) in figures {
+            let change = compare(&earlier, reports, value).map_err(|error| format!("{policy}: {error}"))?;
+            let verdict = if change.excludes_zero() { "significant" } else { "within noise" };
+            print_text(&format!(
                 "{policy:<16} {name:<14} {:+.3} ({:+.3} to {:+.3}, {} seeds): {verdict}\n",
                 change.mean, change.low, change.high, change.count
             ));
@@ -362,7 +375,8 @@
     Ok(())
 }
 
-fn words() -> String {
+/// The parameters with their defaults and meanings, and the kinds of incident.
+fn parameter_table() -> String {
     let mut text = String::new();
     for (title, table) in [("Parameters", PARAMS), ("In a class", CLASS_PARAMS)] {
         text.push_str(&format!("{title}:\n"));
--- a/crates/lab/src/processes.rs
+++ b/crates/lab/src/processes.rs
@@ -1,4 +1,4 @@
-//! The verbs that start real processes.
+//! Subcommands that start real processes or send jobs to them: `rehearse`, `fleet` and `load`.
 
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -20,60 +20,60 @@
 use rookspoke_rig::seen::Watch;
 use rookspoke_rig::soak::{Drawn, Sizes};
 
-/// A rule was broken.
+/// Exit status: a rule was broken.
 pub const BROKEN: u8 = 1;
-/// The rig ran too late for a verdict.
+/// Exit status: the rig was too late to give a verdict.
 pub const VOID: u8 = 4;
 
-/// What a rehearsal is told.
+/// Arguments of `rehearse`.
 #[derive(Args, Debug, Default)]
-pub struct Rehearse {
-    /// A script; without one, a calm day
+pub struct RehearseArgs {
+    /// Script of the scenario; without one, a scenario without incidents
     script: Option<PathBuf>,
-    /// Dispatchers, each a process
+    /// Number of dispatcher processes
     #[arg(long, value_name = "N")]
     dispatchers: Option<u32>,
-    /// Log workers
+    /// Number of log workers
     #[arg(long, value_name = "N")]
     workers: Option<u32>,
-    /// For every draw
+    /// Seed of all random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A parameter's value, before what the script says
+    /// Set a parameter; takes precedence over the script
     #[arg(long, value_name = "NAME=VALUE", value_parser = crate::pair)]
     set: Vec<(String, String)>,
-    /// Draw sizes, habits, incidents and failing system calls from the seed
+    /// Draw sizes, parameters, incidents and failing system calls from the seed
     #[arg(long, conflicts_with_all = ["script", "dispatchers", "workers", "set"])]
     draw: bool,
-    /// The library that makes system calls fail, `librookspoke_faults.so`; without it a drawn play has no such failures
+    /// Library that makes system calls fail, `librookspoke_faults.so`; without it a drawn run has no such failures
     #[arg(long, value_name = "FILE", requires = "draw")]
     faults: Option<PathBuf>,
-    /// The dispatcher's program; without it, `rookspoke` beside this one
+    /// Dispatcher program; without it, `rookspoke` in the folder of this program
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Write what happened to this file: one JSON object to a line, on one clock
+    /// Write the event log to this file: one JSON object per line, with a common clock
     #[arg(long, value_name = "FILE")]
     timeline: Option<PathBuf>,
     #[command(flatten)]
-    files: crate::Files,
+    files: crate::OutputFiles,
 }
 
-impl Rehearse {
+impl RehearseArgs {
     fn scenario(&self) -> Result<Scenario, String> {
         let sizes = [("dispatchers", self.dispatchers), ("workers", self.workers)];
         let sizes = sizes.into_iter().filter_map(|(name, size)| Some((name.to_owned(), size?.to_string())));
         let parameters: Vec<(String, String)> = self.set.iter().cloned().chain(sizes).collect();
-        crate::read(self.script.as_deref(), Environment::Processes, &parameters)
+        crate::read_scenario(self.script.as_deref(), Environment::Processes, &parameters)
     }
 
-    /// The play of the seed, which is printed.
+    /// Draws scenario and fault injection from the seed, and prints them.
     fn drawn(&self) -> Result<(Scenario, Option<FaultInjection>), String> {
         let drawn = Drawn::new(self.seed, Sizes::FULL);
-        crate::say(&drawn.to_string());
+        crate::print_text(&drawn.to_string());
         let scenario = script::read_text("drawn", &drawn.script(), Environment::Processes);
         let scenario = scenario.map_err(|problems| problems.render())?;
         let Some(library) = &self.faults else { return Ok((scenario, None)) };
-        // Processes start in folders of their own.
+        // Dispatchers run in working directories of their own, so the path must be absolute.
         let library = library.canonicalize().map_err(|error| {
             format!("{}: {error}; expected the library of the crate rookspoke-faults", library.display())
         })?;
@@ -81,63 +81,63 @@
     }
 }
 
-/// The program of the dispatcher: the one that was named, or the one beside this tool.
+/// Path of the dispatcher program: the given one, or `rookspoke` in the folder of this program.
 ///
 /// # Errors
-/// It is not there.
-pub fn program(named: Option<&Path>) -> Result<PathBuf, String> {
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join("rookspoke"));
-    let path = named.map(Path::to_owned).or_else(beside).unwrap_or_default();
-    // Its processes start in folders of their own.
+/// The file does not exist.
+pub fn program(given: Option<&Path>) -> Result<PathBuf, String> {
+    let default_path = || Some(std::env::current_exe().ok()?.parent()?.join("rookspoke"));
+    let path = given.map(Path::to_owned).or_else(default_path).unwrap_or_default();
+    // Dispatchers run in working directories of their own, so the path must be absolute.
     path.canonicalize().map_err(|error| {
         format!(
-            "{}: {error}; expected the dispatcher's program (cargo build --release, or --program FILE)",
+            "{}: {error}; expected the dispatcher program (build it with cargo build --release, or pass --program FILE)",
             path.display()
         )
     })
 }
 
-/// Threads for a rig.
+/// Creates the multi-threaded runtime of a rig.
 ///
 /// # Errors
-/// The system has none.
+/// The system cannot start its threads.
 pub fn runtime() -> Result<tokio::runtime::Runtime, String> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(|error| error.to_string())
 }
 
-/// Plays a script with real processes.
+/// Runs a scenario with real processes and returns the exit status of its verdict.
 ///
 /// # Errors
-/// It could not be played.
-pub fn rehearse(what: &Rehearse) -> Result<u8, String> {
-    let (scenario, faults) = if what.draw { what.drawn()? } else { (what.scenario()?, None) };
+/// The script is invalid, the run could not start or was interrupted, or a file could not be written.
+pub fn rehearse(args: &RehearseArgs) -> Result<u8, String> {
+    let (scenario, faults) = if args.draw { args.drawn()? } else { (args.scenario()?, None) };
     let options = Options {
-        program: program(what.program.as_deref())?,
-        seed: what.seed,
+        program: program(args.program.as_deref())?,
+        seed: args.seed,
         patience: Duration::from_secs(60),
         faults,
     };
     runtime()?.block_on(async {
         let rig = Rig::start(scenario, options).await.map_err(|error| error.to_string())?;
-        let shown = tokio::spawn(show(rig.clone()));
-        let played = tokio::select! {
-            played = rig.play() => played.map_err(|error| error.to_string()),
-            // What was started ends with the rig.
+        let progress = tokio::spawn(show_progress(rig.clone()));
+        let result = tokio::select! {
+            result = rig.play() => result.map_err(|error| error.to_string()),
+            // The processes end when the rig is dropped.
             _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
         };
-        shown.abort();
-        played?;
+        progress.abort();
+        result?;
         let outcome = rig.outcome().await;
-        keep(what, &rig, &outcome)?;
-        crate::say(crate::HEAD);
-        crate::say(&crate::row(std::slice::from_ref(&outcome.report)));
-        crate::say(&told(&outcome));
-        Ok(code(outcome.verdict))
+        write_files(args, &rig, &outcome)?;
+        crate::print_text(crate::HEAD);
+        crate::print_text(&crate::row(std::slice::from_ref(&outcome.report)));
+        crate::print_text(&outcome_text(&outcome));
+        Ok(exit_status(outcome.verdict))
     })
 }
 
-/// The exit status of a verdict.
-pub fn code(verdict: Verdict) -> u8 {
+/// Exit status of a verdict.
+pub fn exit_status(verdict: Verdict) -> u8 {
     match verdict {
         Verdict::Kept => 0,
         Verdict::Broken => BROKEN,
@@ -145,98 +145,98 @@
     }
 }
 
-/// What a fleet is told.
+/// Arguments of `fleet`.
 #[derive(Args, Debug)]
-pub struct Fleet {
-    /// A script: sizes, habits of log workers, classes
+pub struct FleetArgs {
+    /// Script of the scenario: sizes, parameters of log workers, classes
     script: Option<PathBuf>,
-    /// Dispatchers that will be started by hand
+    /// Number of dispatchers that will be started manually
     #[arg(long, value_name = "N", default_value_t = 1)]
     dispatchers: u32,
-    /// Log workers
+    /// Number of log workers
     #[arg(long, value_name = "N", default_value_t = 12)]
     workers: u32,
-    /// For every draw
+    /// Seed of all random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The folder for the dispatchers' configurations, `n0.json` and on
+    /// Folder to write the dispatchers' configurations to, as `n0.json`, `n1.json` and so on
     #[arg(long, value_name = "FOLDER")]
     configs: PathBuf,
 }
 
-/// Starts log workers and discovery, and waits for Ctrl-C.
+/// Starts log workers and discovery, writes the dispatchers' configurations, and waits for Ctrl-C.
 ///
 /// # Errors
-/// They could not be started.
-pub fn fleet(what: &Fleet) -> Result<u8, String> {
-    let as_rehearsal = Rehearse {
-        script: what.script.clone(),
-        dispatchers: Some(what.dispatchers),
-        workers: Some(what.workers),
-        seed: what.seed,
-        ..Rehearse::default()
+/// The script is invalid, the fleet could not start, or a configuration could not be written.
+pub fn fleet(args: &FleetArgs) -> Result<u8, String> {
+    let as_rehearsal = RehearseArgs {
+        script: args.script.clone(),
+        dispatchers: Some(args.dispatchers),
+        workers: Some(args.workers),
+        seed: args.seed,
+        ..RehearseArgs::default()
     };
     let scenario = as_rehearsal.scenario()?;
-    // No dispatcher is started here, so no program is needed.
+    // No dispatcher is started here, so that the path of the program is unused.
     let options =
-        Options { program: PathBuf::new(), seed: what.seed, patience: Duration::ZERO, faults: None };
+        Options { program: PathBuf::new(), seed: args.seed, patience: Duration::ZERO, faults: None };
     runtime()?.block_on(async {
         let rig = Rig::without_dispatchers(scenario, options).await.map_err(|error| error.to_string())?;
-        std::fs::create_dir_all(&what.configs)
-            .map_err(|error| format!("{}: {error}", what.configs.display()))?;
+        std::fs::create_dir_all(&args.configs)
+            .map_err(|error| format!("{}: {error}", args.configs.display()))?;
         for dispatcher in &rig.dispatchers {
-            let path = what.configs.join(format!("{}.json", dispatcher.name));
+            let path = args.configs.join(format!("{}.json", dispatcher.name));
             crate::write(&path, &dispatcher.config().to_string())?;
-            crate::say(&format!("PROXY_CONFIG={} rookspoke\n", path.display()));
+            crate::print_text(&format!("PROXY_CONFIG={} rookspoke\n", path.display()));
         }
         let _ = tokio::signal::ctrl_c().await;
         Ok(0)
     })
 }
 
-/// What a load is told.
+/// Arguments of `load`.
 #[derive(Args, Debug)]
-pub struct Clients {
-    /// The script that the fleet was started with
+pub struct LoadArgs {
+    /// Script that the fleet was started with
     script: Option<PathBuf>,
-    /// Where dispatchers listen, parted by commas
+    /// Addresses at which dispatchers listen, separated by commas
     #[arg(long, value_name = "ADDRESS,...", value_delimiter = ',', required = true)]
     to: Vec<std::net::SocketAddr>,
-    /// Log workers of the fleet
+    /// Number of log workers of the fleet
     #[arg(long, value_name = "N", default_value_t = 12)]
     workers: u32,
-    /// For every draw
+    /// Seed of all random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Hands in jobs at dispatchers that run.
+/// Sends jobs to running dispatchers and prints the results.
 ///
 /// # Errors
-/// The script makes no sense.
-pub fn load(what: &Clients) -> Result<u8, String> {
-    let as_rehearsal = Rehearse {
-        script: what.script.clone(),
-        dispatchers: u32::try_from(what.to.len()).ok(),
-        workers: Some(what.workers),
-        seed: what.seed,
-        ..Rehearse::default()
+/// The script is invalid, or the runtime could not start.
+pub fn load(args: &LoadArgs) -> Result<u8, String> {
+    let as_rehearsal = RehearseArgs {
+        script: args.script.clone(),
+        dispatchers: u32::try_from(args.to.len()).ok(),
+        workers: Some(args.workers),
+        seed: args.seed,
+        ..RehearseArgs::default()
     };
     let scenario = as_rehearsal.scenario()?;
     runtime()?.block_on(async {
         let answer = scenario.span("rules.answer-slack") + SOCKET_SLACK;
         let watch = Watch::new(Clock::starting_in(Duration::ZERO), vec![Box::new(OneAnswer::new(answer))]);
-        let seats: Vec<Seat> = what.to.iter().map(|to| Seat::at(*to)).collect();
+        let seats: Vec<Seat> = args.to.iter().map(|to| Seat::at(*to)).collect();
         let lateness = Lateness::default();
-        let load = Load::new(&scenario, what.seed, Arc::new(seats), watch.clone(), lateness.clone());
-        let jobs = arrivals(&scenario, what.seed, &mut stream(what.seed, Stream::Clients, 0));
+        let load = Load::new(&scenario, args.seed, Arc::new(seats), watch.clone(), lateness.clone());
+        let jobs = arrivals(&scenario, args.seed, &mut stream(args.seed, Stream::Clients, 0));
         load.run(watch.clock().now() + Span(200_000), &jobs).await;
         watch.close();
         let counted = load.counted();
         let score = Score::from_jobs(&scenario, &counted.asked);
         let (late, quantile) = (lateness.figures(), |q| counted.latency.value_at_quantile(q) as f64 / 1000.0);
-        crate::say(&format!(
-            "service {:.3}; {} asked, {} served ({} late), {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
+        crate::print_text(&format!(
+            "service {:.3}; {} submitted, {} served ({} late), {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
              sent late by {:.1} ms (p99)\n",
             score.service,
             counted.asked.len(),
@@ -249,23 +249,24 @@
             late.p99_ms
         ));
         let breaches = watch.breaches();
-        breaches.iter().take(10).for_each(|breach| crate::say(&format!("{}: {}\n", breach.rule, breach.what)));
+        breaches.iter().take(10).for_each(|breach| crate::print_text(&format!("{}: {}\n", breach.rule, breach.what)));
         Ok(if breaches.is_empty() { 0 } else { BROKEN })
     })
 }
 
-fn keep(what: &Rehearse, rig: &Rig, outcome: &Outcome) -> Result<(), String> {
-    if let Some(path) = &what.timeline {
+/// Writes the event log and the reports that were requested.
+fn write_files(args: &RehearseArgs, rig: &Rig, outcome: &Outcome) -> Result<(), String> {
+    if let Some(path) = &args.timeline {
         rig.watch.write(path).map_err(|error| format!("{}: {error}", path.display()))?;
     }
-    what.files.write(what.script.as_deref(), &rig.scenario, std::slice::from_ref(&outcome.report))
+    args.files.write(args.script.as_deref(), &rig.scenario, std::slice::from_ref(&outcome.report))
 }
 
-/// The verdict in words, with what broke.
-pub fn told(outcome: &Outcome) -> String {
+/// Formats the verdict, and the first violations with the events around them.
+pub fn outcome_text(outcome: &Outcome) -> String {
     let late = outcome.lateness;
     let mut text = format!(
-        "verdict {:?}; ready in {:.1} s; {} KiB a dispatcher; {:.1} s of processor for all; the rig ran late by {:.1} ms \
+        "verdict {:?}; ready in {:.1} s; {} KiB per dispatcher; {:.1} s of CPU time in total; the rig ran late by {:.1} ms \
          (p99), {:.1} ms at most\n",
         outcome.verdict, outcome.ready_s, outcome.memory_kb, outcome.cpu_s, late.p99_ms, late.most_ms
     );
@@ -276,8 +277,8 @@
     text
 }
 
-/// How it goes, in one line on a terminal.
-async fn show(rig: Arc<Rig>) {
+/// Updates a progress line on standard error every 0.5 s, if it is a terminal.
+async fn show_progress(rig: Arc<Rig>) {
     if !std::io::stderr().is_terminal() {
         return;
     }
@@ -287,7 +288,7 @@
         let late: usize = counted.late.iter().sum();
         let _ = write!(
             std::io::stderr(),
-            "\r{:3} dispatchers, {:3} log workers; {} asked, {} served ({late} late), {} refused, {} failed   ",
+            "\r{:3} dispatchers, {:3} log workers; {} submitted, {} served ({late} late), {} refused, {} failed   ",
             rig.in_front(),
             rig.plant.up(),
             counted.asked.len(),
