--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -1,184 +1,215 @@
-//! Every section and keyword: its unit, default and range, where it goes, and whether a reload heeds it.
+//! The table of all sections and keywords: kind of value, range, default, path in the settings tree, and whether
+//! a reload applies a change.
 
 use crate::value::Kind;
 
-/// What may follow a section's name.
+use Absent::{Default, Required, Unset};
+
+/// What follows a section's name in its first line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Label {
-    /// Nothing: the section may come once.
+    /// Nothing. The section may occur once.
     None,
-    /// A name of its own: the section may come often, and the name goes to this field.
+    /// A name that tells apart sections of this kind, which may occur repeatedly. It is stored in this field.
     Named(&'static str),
 }
 
-/// A section of the file.
+/// Definition of a section: a group of keywords in braces.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// Its name; empty for the lines outside of all sections.
+    /// Name in the file; empty for the keywords outside of all sections.
     pub name: &'static str,
-    /// What follows the name.
+    /// Whether instances of the section have names.
     pub label: Label,
-    /// Where its fields go: a path into the tree, of names parted by `/`. The path of a section that may come
-    /// often leads to a list.
+    /// Path of its fields in the tree: names separated by `/`. For a section with [`Label::Named`], the path of
+    /// a list with one item for each instance.
     pub path: &'static str,
-    /// Whether the platform's JSON, where there is one, says these things instead.
-    pub platform: bool,
-    /// What it is for.
+    /// Whether the platform's JSON, if there is one, supplies these values, so that the file's are ignored.
+    pub overridden_by_platform: bool,
+    /// Description in the reference for operators.
     pub doc: &'static str,
-    /// Its keywords.
+    /// Keywords that are valid in the section.
     pub keywords: &'static [Keyword],
 }
 
-/// What holds where a keyword is not given.
+/// What applies if a keyword is not given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absent {
-    /// This, as it would stand in a file.
+    /// This value, written as in a file.
     Default(&'static str),
-    /// Nothing: that is a meaning of its own, told in the text.
-    Nothing,
-    /// It is an error.
-    Error,
+    /// The value stays unset. The keyword's description says what that means.
+    Unset,
+    /// The configuration is rejected.
+    Required,
 }
 
-/// A keyword.
+/// Definition of a keyword.
 #[derive(Clone, Copy, Debug)]
 pub struct Keyword {
-    /// Its name.
+    /// Name in the file, unique within the section.
     pub name: &'static str,
-    /// What follows it.
+    /// Kind and range of its value.
     pub kind: Kind,
-    /// What holds without it.
+    /// What applies if it is not given.
     pub absent: Absent,
-    /// Where it goes, below its section's path.
+    /// Path of the value in the tree: below the section's path, or from the root if it starts with `/`.
     pub path: &'static str,
-    /// Whether SIGHUP heeds a change of it.
-    pub reload: bool,
-    /// What it means.
+    /// Whether a reload (SIGHUP) applies a change of the value.
+    pub reloadable: bool,
+    /// Description in the reference for operators.
     pub doc: &'static str,
 }
 
-const fn key(
+const fn keyword(
     name: &'static str,
     kind: Kind,
     absent: Absent,
     path: &'static str,
     doc: &'static str,
 ) -> Keyword {
-    Keyword { name, kind, absent, path, reload: false, doc }
+    Keyword { name, kind, absent, path, reloadable: false, doc }
 }
 
-const fn live(keyword: Keyword) -> Keyword {
-    Keyword { reload: true, ..keyword }
+const fn reloadable(keyword: Keyword) -> Keyword {
+    Keyword { reloadable: true, ..keyword }
 }
 
-use Absent::{Default, Error, Nothing};
-
 const DAY: f64 = 86_400_000.0;
-const ON: Absent = Default("on");
-const PART: Kind = Kind::Number { least: 0.0, most: 1.0 };
-const POSITIVE: Kind = Kind::Number { least: 0.0, most: f64::MAX };
-const fn time(least: f64, most: f64) -> Kind {
-    Kind::Time { least, most }
+const DEFAULT_ON: Absent = Default("on");
+const FRACTION: Kind = Kind::Number { min: 0.0, max: 1.0 };
+const NON_NEGATIVE: Kind = Kind::Number { min: 0.0, max: f64::MAX };
+const fn time(min: f64, max: f64) -> Kind {
+    Kind::Time { min, max }
 }
 
-/// All sections; the first holds the lines outside of all others.
+/// All sections. The first one holds the keywords outside of all others.
 pub const SECTIONS: &[Section] = &[
     Section {
         name: "",
         label: Label::None,
         path: "",
-        platform: true,
-        doc: "Lines outside of all sections: who this dispatcher is, and where the others are.",
+        overridden_by_platform: true,
+        doc: "Keywords outside of all sections: the identity of this dispatcher, its addresses and the \
+             installation that it belongs to.",
         keywords: &[
-            key("name", Kind::Text, Default("rookspoke"), "name", "The dispatcher's name in logs and figures."),
-            key("listen", Kind::Address, Error, "listen", "Where clients connect. Port 0 takes a free one."),
-            live(key(
+            keyword(
+                "name",
+                Kind::Text,
+                Default("rookspoke"),
+                "name",
+                "The dispatcher's name in logs and metrics.",
+            ),
+            keyword(
+                "listen",
+                Kind::Address,
+                Required,
+                "listen",
+                "Address that clients connect to. Port 0 selects a free port.",
+            ),
+            reloadable(keyword(
                 "discovery",
                 Kind::Address,
-                Nothing,
+                Unset,
                 "discovery",
-                "Where the list of log workers is asked for. Without it, the `worker` sections are the list.",
+                "Address of the discovery service that serves the list of log workers. Without it, the \
+                 `worker` sections are the list.",
             )),
-            key(
+            keyword(
                 "console",
                 Kind::Address,
-                Nothing,
+                Unset,
                 "console",
-                "Where operators ask: ready, figures, log workers out by hand. Without it there is no such place.",
+                "Address of the operators' console: readiness, metrics and manual ejection of log workers. \
+                 Without it, there is no console.",
             ),
-            key(
+            keyword(
                 "state",
                 Kind::Text,
-                Nothing,
+                Unset,
                 "state",
-                "The folder of what a restart must not forget: which log workers are out by hand. Without it, none \
-                 can be taken out.",
+                "Directory for state that must survive a restart: the manually ejected log workers. Without \
+                 it, log workers cannot be ejected manually.",
             ),
-            key(
+            keyword(
                 "accept-fd",
-                Kind::Count { least: 3, most: 1 << 20 },
-                Nothing,
+                Kind::Count { min: 3, max: 1 << 20 },
+                Unset,
                 "accept_fd",
-                "An inherited descriptor that listens for clients in the place of `listen`.",
+                "Inherited descriptor of a listening socket that replaces `listen`.",
+            ),
+            keyword(
+                "seed",
+                Kind::Seed,
+                Unset,
+                "seed",
+                "Seed of the random number generator. Without it, each start draws a new one.",
             ),
-            key("seed", Kind::Seed, Nothing, "seed", "For random numbers. Without it, another one each start."),
-            key(
+            keyword(
                 "sockets",
-                Kind::Count { least: 64, most: 1 << 20 },
+                Kind::Count { min: 64, max: 1 << 20 },
                 Default("1024"),
                 "limits/sockets",
-                "The most descriptors that the process uses: half for clients, two fifths for log workers.",
+                "Maximum number of descriptors that the process uses: half for clients, two fifths for log \
+                 workers.",
             ),
-            key("zone", Kind::Text, Default("here"), "settings/zone", "The zone that this dispatcher is in."),
-            key("zones", Kind::Texts, Nothing, "settings/localities", "All zones. Without it, just `zone`."),
-            key(
+            keyword("zone", Kind::Text, Default("here"), "settings/zone", "Zone of this dispatcher."),
+            keyword(
+                "zones",
+                Kind::Texts,
+                Unset,
+                "settings/localities",
+                "All zones of the installation. Without it, only `zone`.",
+            ),
+            keyword(
                 "kinds",
                 Kind::Texts,
                 Default("worker"),
                 "settings/machine_types",
-                "The kinds of machine that log workers run on.",
+                "Kinds of machine that log workers run on.",
             ),
-            key(
+            keyword(
                 "dispatchers",
-                Kind::Count { least: 1, most: 10_000 },
+                Kind::Count { min: 1, max: 10_000 },
                 Default("1"),
                 "settings/balancers",
-                "How many dispatchers send to these log workers: each keeps to its part of a cold one.",
+                "Number of dispatchers that send to these log workers. They divide the capacity of a log \
+                 worker in slow start among them.",
             ),
-            key(
+            keyword(
                 "number",
-                Kind::Count { least: 0, most: 9_999 },
+                Kind::Count { min: 0, max: 9_999 },
                 Default("0"),
                 "settings/me",
-                "This dispatcher's number among them, from 0.",
+                "Number of this dispatcher among all `dispatchers`, from 0.",
             ),
-            key(
+            keyword(
                 "tick",
                 time(0.1, 1_000.0),
                 Default("4ms"),
                 "settings/quantum_ms",
-                "Events are decided on together, no more often than this.",
+                "Minimum interval between two rounds of decisions; events that arrive in between are \
+                 decided on together.",
             ),
-            key(
+            keyword(
                 "over-share-worth",
-                PART,
+                FRACTION,
                 Default("1"),
                 "settings/over_share_worth",
-                "What a request beyond its tenant's share is worth, as a part of its class's worth.",
+                "Worth of a request beyond its tenant's share, as a fraction of its class's worth.",
             ),
-            key(
+            keyword(
                 "worth-by",
                 Kind::Choice(&[("request", "request"), ("work", "work")]),
                 Default("request"),
                 "settings/worth_by",
-                "What `worth` is counted for: each request, whatever its size, or each unit of its work.",
+                "What `worth` is counted for: each request regardless of its size, or each unit of its work.",
             ),
-            key(
+            keyword(
                 "cross-zone-price",
-                POSITIVE,
+                NON_NEGATIVE,
                 Default("0"),
                 "settings/prices/cross_zone",
-                "What sending a request to another zone costs, as a part of its worth.",
+                "Cost of sending a request to another zone, as a fraction of its worth.",
             ),
         ],
     },
@@ -186,52 +217,77 @@
         name: "class",
         label: Label::Named("name"),
         path: "settings/classes",
-        platform: true,
-        doc: "A class of requests. There is at least one.",
+        overridden_by_platform: true,
+        doc: "A class of requests. At least one is required.",
         keywords: &[
-            key(
+            keyword(
                 "effect",
                 Kind::Choice(&[
                     ("safe", "read_like"),
                     ("once", "non_idempotent"),
                     ("keyed", "idempotency_key"),
                 ]),
-                Error,
+                Required,
                 "effect",
-                "How far a request may be repeated: at will; never once it may have run; or only where log \
-                 workers discard repeats (`group`, `window`).",
+                "Whether a request may be repeated: `safe` without limits; `once` only while it cannot have \
+                 run; `keyed` only where log workers discard repeats (`group`, `window`).",
             ),
-            key("aim", time(1.0, DAY), Error, "goal_time_ms", "An answer within this time has its full worth."),
-            key(
+            keyword(
+                "aim",
+                time(1.0, DAY),
+                Required,
+                "goal_time_ms",
+                "Latency goal: an answer within this time has its full worth.",
+            ),
+            keyword(
                 "deadline",
                 time(1.0, DAY),
-                Error,
+                Required,
                 "deadline_ms",
-                "How long clients wait, where they do not say so themselves.",
+                "How long clients wait for an answer if the request does not state its own deadline.",
             ),
-            key(
+            keyword(
                 "stretch",
-                Kind::Number { least: 0.0, most: 1000.0 },
+                Kind::Number { min: 0.0, max: 1000.0 },
                 Default("0"),
                 "aim_stretch",
-                "The aim grows by this times the request's own running time.",
+                "The aim is extended by this multiple of the request's own running time.",
+            ),
+            keyword(
+                "worth",
+                NON_NEGATIVE,
+                Default("1"),
+                "gain",
+                "Worth of an answer in time, relative to other classes.",
+            ),
+            keyword(
+                "late-worth",
+                FRACTION,
+                Default("0"),
+                "late_worth",
+                "Fraction of the worth that an answer keeps after the aim has passed.",
             ),
-            key("worth", POSITIVE, Default("1"), "gain", "What an answer in time is worth, against other classes."),
-            key("late-worth", PART, Default("0"), "late_worth", "The part of the worth that is left after the aim."),
-            key("kind", Kind::Text, Nothing, "kind", "The only kind of machine that runs it. Without it, any."),
-            key(
+            keyword(
+                "kind",
+                Kind::Text,
+                Unset,
+                "kind",
+                "The only kind of machine that runs this class. Without it, any kind does.",
+            ),
+            keyword(
                 "group",
                 Kind::Choice(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]),
                 Default("all"),
                 "group",
-                "With effect `keyed`: which log workers discard a repeat.",
+                "With effect `keyed`: which log workers discard a repeat of a request that one of them has \
+                 received.",
             ),
-            key(
+            keyword(
                 "window",
                 time(0.0, DAY),
                 Default("5s"),
                 "dedup_window_ms",
-                "With effect `keyed`: for how long after the first send.",
+                "With effect `keyed`: how long after the first send repeats are discarded.",
             ),
         ],
     },
@@ -239,41 +295,65 @@
         name: "tenant",
         label: Label::Named("name"),
         path: "settings/projects",
-        platform: true,
-        doc: "A tenant, and its share of the service.",
-        keywords: &[key(
+        overridden_by_platform: true,
+        doc: "A tenant and its share of the service.",
+        keywords: &[keyword(
             "allowance",
             Kind::Rate,
-            Error,
+            Required,
             "allowance_per_s",
-            "Requests within its share, over all dispatchers.",
+            "Rate of requests within the tenant's share, summed over all dispatchers.",
         )],
     },
     Section {
         name: "worker",
         label: Label::Named("uid"),
         path: "known/targets",
-        platform: true,
+        overridden_by_platform: true,
         doc: "A log worker of a fixed list, for installations without discovery. With `discovery`, the list \
-              that holds until discovery has answered.",
+             is used until discovery has answered.",
         keywords: &[
-            live(key("address", Kind::Address, Error, "endpoint", "Where it listens.")),
-            live(key("zone", Kind::Text, Nothing, "az", "The zone that it is in. Without it, the dispatcher's.")),
-            live(key("kind", Kind::Text, Nothing, "model", "Its kind of machine. Without it, the first of `kinds`.")),
-            live(key(
+            reloadable(keyword(
+                "address",
+                Kind::Address,
+                Required,
+                "endpoint",
+                "Address that the log worker listens on.",
+            )),
+            reloadable(keyword(
+                "zone",
+                Kind::Text,
+                Unset,
+                "az",
+                "Zone of the log worker. Without it, the dispatcher's zone.",
+            )),
+            reloadable(keyword(
+                "kind",
+                Kind::Text,
+                Unset,
+                "model",
+                "Kind of machine of the log worker. Without it, the first of `kinds`.",
+            )),
+            reloadable(keyword(
                 "cell",
-                Kind::Count { least: 0, most: u64::MAX },
-                Nothing,
+                Kind::Count { min: 0, max: u64::MAX },
+                Unset,
                 "pod_group",
-                "Its cell: a group that shares which keys it has seen.",
+                "Rack of the log worker: a group of log workers that shares which keys it has received.",
+            )),
+            reloadable(keyword(
+                "weight",
+                NON_NEGATIVE,
+                Default("1"),
+                "capacity_hint",
+                "Capacity relative to other log workers.",
             )),
-            live(key("weight", POSITIVE, Default("1"), "capacity_hint", "Its size against other log workers.")),
-            live(key(
+            reloadable(keyword(
                 "state",
                 Kind::Choice(&[("active", "active"), ("draining", "leaving")]),
                 Default("active"),
                 "state",
-                "A draining one finishes what it has and gets nothing new.",
+                "A draining log worker finishes the jobs that it has and gets no new ones.",
             )),
         ],
     },
@@ -281,46 +361,59 @@
         name: "limits",
         label: Label::None,
         path: "settings/limits",
-        platform: true,
-        doc: "What the installation lets a dispatcher do.",
+        overridden_by_platform: true,
+        doc: "What the installation allows a dispatcher to do.",
         keywords: &[
-            key(
+            keyword(
                 "attempts",
-                Kind::Count { least: 1, most: 100 },
+                Kind::Count { min: 1, max: 100 },
                 Default("6"),
                 "send_cap",
-                "The most call attempts for a request.",
+                "Maximum number of call attempts for a request.",
+            ),
+            keyword("cancel", Kind::Switch, DEFAULT_ON, "cancel", "Whether call attempts may be cancelled."),
+            keyword(
+                "probes",
+                Kind::Switch,
+                Default("off"),
+                "probes",
+                "Whether log workers may be probed for their load (`GET /stats`).",
             ),
-            key("cancel", Kind::Switch, ON, "cancel", "Attempts may be called off."),
-            key("probes", Kind::Switch, Default("off"), "probes", "Log workers may be asked for their load (`GET /stats`)."),
-            key(
+            keyword(
                 "second-copies",
                 Kind::Switch,
-                ON,
+                DEFAULT_ON,
                 "second_copies",
-                "A second copy of a safe request may be sent while the first is out.",
+                "Whether a safe request may be hedged: sent a second time while the first attempt has no \
+                 answer yet.",
+            ),
+            keyword(
+                "retry-after",
+                Kind::Switch,
+                DEFAULT_ON,
+                "retry_after",
+                "Whether a refusal tells the client when to retry (`retry-after`).",
             ),
-            key("retry-after", Kind::Switch, ON, "retry_after", "Refused clients are told when to come back."),
-            key(
+            keyword(
                 "max-retry-after",
                 time(0.0, DAY),
                 Default("2s"),
                 "max_retry_after_ms",
-                "The longest time that they are told.",
+                "Maximum time in `retry-after`.",
             ),
-            key(
+            keyword(
                 "connection-idle",
                 time(1.0, DAY),
                 Default("15s"),
                 "conn_idle_ms",
-                "How long log workers leave an idle connection open: ours are closed sooner.",
+                "How long log workers keep an idle connection open; the dispatcher closes its own earlier.",
             ),
-            key(
+            keyword(
                 "connect-timeout",
                 time(1.0, 60_000.0),
                 Default("250ms"),
                 "connect_timeout_ms",
-                "How long a connection may take to come up.",
+                "Maximum time to establish a connection.",
             ),
         ],
     },
@@ -328,98 +421,111 @@
         name: "rules",
         label: Label::None,
         path: "settings/rules",
-        platform: true,
-        doc: "The figures of the rules that are always kept.",
+        overridden_by_platform: true,
+        doc: "Parameters of the rules that a dispatcher always keeps.",
         keywords: &[
-            key(
+            keyword(
                 "answer-slack",
                 time(0.0, 60_000.0),
                 Default("16ms"),
                 "answer_slack_ms",
-                "How long past the deadline a final answer still counts.",
+                "How long after the deadline a final answer still counts.",
             ),
-            key(
+            keyword(
                 "ask-every",
                 time(1.0, DAY),
                 Default("10s"),
                 "ask_every_ms",
-                "How long a dispatcher may go without asking discovery.",
+                "Maximum time between two requests to discovery.",
             ),
-            key(
+            keyword(
                 "drain-grace",
                 time(0.0, 60_000.0),
                 Default("500ms"),
                 "stop_sending_within_ms",
-                "New work to a draining log worker stops within this time.",
+                "Time within which a draining log worker stops receiving new work.",
             ),
-            key(
+            keyword(
                 "cold-from",
-                PART,
+                FRACTION,
                 Default("0.13"),
                 "cold_from",
-                "The part of its capacity that a log worker starts with, at the least.",
+                "Minimum fraction of its capacity that a log worker has at the beginning of slow start.",
             ),
-            key("ramp", time(0.0, DAY), Default("23s"), "ramp_time_ms", "When it is warm, at the latest."),
-            key(
+            keyword(
+                "ramp",
+                time(0.0, DAY),
+                Default("23s"),
+                "ramp_time_ms",
+                "Maximum duration of slow start.",
+            ),
+            keyword(
                 "fall-multiple",
-                Kind::Number { least: 0.01, most: 1000.0 },
+                Kind::Number { min: 0.01, max: 1000.0 },
                 Default("3"),
                 "fall_multiple",
-                "Sent more than this times its present capacity, a cold log worker falls over",
+                "A log worker in slow start is overloaded if it is sent more than this multiple of its \
+                 current capacity within `fall-span`.",
+            ),
+            keyword(
+                "fall-span",
+                time(0.0, DAY),
+                Default("3s"),
+                "overload_for_ms",
+                "Period over which `fall-multiple` counts.",
             ),
-            key("fall-span", time(0.0, DAY), Default("3s"), "overload_for_ms", "within this time."),
         ],
     },
     Section {
         name: "reports",
         label: Label::None,
         path: "settings/reporting",
-        platform: true,
-        doc: "The load reports of log workers.",
+        overridden_by_platform: true,
+        doc: "Load reports of log workers.",
         keywords: &[
-            key(
+            keyword(
                 "how",
                 Kind::Choice(&[("answers", "answers"), ("probes", "probe"), ("none", "none")]),
                 Default("none"),
                 "how",
-                "Where they come from: with answers, with probes alone, or nowhere.",
+                "How load reports arrive: with answers, with probes only, or not at all.",
             ),
-            key(
+            keyword(
                 "fields",
                 Kind::Texts,
-                Nothing,
+                Unset,
                 "fields",
-                "Their fields, by the names `busy_reqs`, `pending`, `cpu_share`, `failed_ps`, `served_ps`, `x0`, \
-                 `x1`; others are skipped.",
+                "Fields of a load report. Known names are `busy_reqs`, `pending`, `cpu_share`, \
+                 `failed_ps`, `served_ps`, `x0`, `x1`; fields with other names are skipped.",
             ),
-            key(
+            keyword(
                 "x0",
                 Kind::Choice(&[("free-slots", "free_slots"), ("free-memory", "free_memory")]),
                 Default("free-slots"),
                 "/settings/specifics/report_x0",
-                "What the field `x0` means.",
+                "Meaning of the field `x0`.",
             ),
-            key(
+            keyword(
                 "x1",
                 Kind::Choice(&[("free-slots", "free_slots"), ("free-memory", "free_memory")]),
                 Default("free-memory"),
                 "/settings/specifics/report_x1",
-                "What the field `x1` means.",
+                "Meaning of the field `x1`.",
             ),
-            key(
+            keyword(
                 "starts",
                 Kind::Switch,
-                ON,
+                DEFAULT_ON,
                 "/settings/specifics/tells_start",
-                "Log workers tell when a job starts.",
+                "Whether log workers report the start of a job.",
             ),
-            key(
+            keyword(
                 "progress",
                 time(0.0, DAY),
                 Default("0ms"),
                 "/settings/specifics/progress_ms",
-                "How often log workers tell how far a job is that they run; 0ms: never. One that says nothing for \
-                 twice as long has its job called off.",
+                "How often log workers report the progress of a running job; `0ms` for never. A job without \
+                 a report for twice this time is cancelled.",
             ),
         ],
     },
@@ -427,30 +533,38 @@
         name: "faktory",
         label: Label::None,
         path: "faktory",
-        platform: false,
-        doc: "The Faktory front. Without this section it is off.",
+        overridden_by_platform: false,
+        doc: "The Faktory front. Without this section, it is off.",
         keywords: &[
-            key("listen", Kind::Address, Error, "listen", "Where producers and consumers connect."),
-            key(
+            keyword(
+                "listen",
+                Kind::Address,
+                Required,
+                "listen",
+                "Address that producers and consumers connect to.",
+            ),
+            keyword(
                 "connections",
-                Kind::Count { least: 1, most: 1 << 20 },
+                Kind::Count { min: 1, max: 1 << 20 },
                 Default("256"),
                 "max_connections",
-                "The most connections of both together. They come out of `sockets`.",
+                "Maximum number of connections of producers and consumers together. They count towards \
+                 `sockets`.",
             ),
-            key(
+            keyword(
                 "claim",
                 time(1.0, DAY),
                 Default("5s"),
                 "claim_ms",
                 "How long a job waits for one consumer to fetch it before it is offered to another.",
             ),
-            key(
+            keyword(
                 "reconnect",
                 time(1.0, DAY),
                 Default("2s"),
                 "reconnect_ms",
-                "How long a consumer that lost its last connection may stay away before what it held counts as lost.",
+                "How long a consumer that lost its last connection may take to reconnect before its jobs \
+                 count as lost.",
             ),
         ],
     },
@@ -458,68 +572,93 @@
         name: "vrrp",
         label: Label::None,
         path: "faktory/vrrp",
-        platform: false,
-        doc: "A pair of daemons with the Faktory front: the master takes and hands out new work, the backup only \
-              hears how its own ended. Needs the section `faktory`.",
+        overridden_by_platform: false,
+        doc:
+            "A pair of daemons with the Faktory front: the master accepts and hands out new jobs, the backup \
+              only accepts the outcomes of the jobs that it handed out. Requires the section `faktory`.",
         keywords: &[
-            key("listen", Kind::Address, Error, "listen", "This daemon's own IPv4 address and UDP port."),
-            key("peers", Kind::PeerAddresses, Error, "peers", "The other daemons'."),
-            key("router", Kind::Count { least: 1, most: 255 }, Error, "vrid", "The number of the virtual router."),
-            key(
+            keyword("listen", Kind::Address, Required, "listen", "IPv4 address and UDP port of this daemon."),
+            keyword(
+                "peers",
+                Kind::PeerAddresses,
+                Required,
+                "peers",
+                "IPv4 addresses and UDP ports of the other daemons.",
+            ),
+            keyword(
+                "router",
+                Kind::Count { min: 1, max: 255 },
+                Required,
+                "vrid",
+                "Number of the virtual router (VRID).",
+            ),
+            keyword(
                 "priority",
-                Kind::Count { least: 1, most: 255 },
+                Kind::Count { min: 1, max: 255 },
                 Default("100"),
                 "priority",
-                "1 to 254; 255 is for the owner of the addresses.",
+                "Priority in the election of the master: 1 to 254; 255 is for the owner of the addresses.",
             ),
-            key(
+            keyword(
                 "interval",
-                Kind::Hundredths { most: 4095 },
+                Kind::Centiseconds { max: 4095 },
                 Default("1s"),
                 "interval_cs",
-                "How often the master advertises.",
+                "Interval between the advertisements of the master.",
+            ),
+            keyword(
+                "preempt",
+                Kind::Switch,
+                DEFAULT_ON,
+                "preempt",
+                "Whether to take over from a master of lower priority.",
+            ),
+            keyword(
+                "addresses",
+                Kind::Ipv4s,
+                Required,
+                "addresses",
+                "Virtual addresses, the same on every daemon.",
             ),
-            key("preempt", Kind::Switch, ON, "preempt", "Whether to take over from a master of lower priority."),
-            key("addresses", Kind::Ipv4s, Error, "addresses", "The virtual addresses, the same on every daemon."),
         ],
     },
     Section {
         name: "log",
         label: Label::None,
         path: "log",
-        platform: false,
-        doc: "What is written to standard error.",
+        overridden_by_platform: false,
+        doc: "The log, which is written to standard error.",
         keywords: &[
-            key(
+            keyword(
                 "format",
                 Kind::Choice(&[("text", "text"), ("json", "json")]),
                 Default("text"),
                 "format",
-                "Lines for people, or one JSON object a line.",
+                "Plain text, or one JSON object per line.",
             ),
-            live(key(
+            reloadable(keyword(
                 "level",
                 Kind::Text,
                 Default("info"),
                 "level",
-                "`error`, `warn`, `info`, `debug`, `trace`, or directives for each part, such as \
-                 `info,rookspoke_channel=debug`. ROOKSPOKE_LOG goes before it.",
+                "`error`, `warn`, `info`, `debug`, `trace`, or directives per module, such as \
+                 `info,rookspoke_channel=debug`. ROOKSPOKE_LOG takes precedence.",
             )),
-            key(
+            keyword(
                 "repeats",
-                Kind::Count { least: 1, most: 1_000_000 },
+                Kind::Count { min: 1, max: 1_000_000 },
                 Default("20"),
                 "repeats",
-                "The most lines a second from one place in the program, at the levels from `info` up. What is \
-                 left out is counted.",
+                "Maximum number of lines per second from one place in the program, at the levels `info`, \
+                 `warn` and `error`. Suppressed lines are counted.",
             ),
-            key(
+            keyword(
                 "queue",
-                Kind::Count { least: 1, most: 1_000_000 },
+                Kind::Count { min: 1, max: 1_000_000 },
                 Default("4096"),
                 "queue",
-                "Lines that wait to be written. Beyond it they are dropped and counted: a log that nobody reads \
-                 holds up nothing.",
+                "Maximum number of lines that wait to be written. Further lines are dropped and counted, so \
+                 that a log that nobody reads does not block the daemon.",
             ),
         ],
     },
@@ -527,34 +666,35 @@
         name: "control",
         label: Label::None,
         path: "control",
-        platform: false,
-        doc: "The socket that `rookspoke status` asks. Without this section there is none.",
-        keywords: &[key(
+        overridden_by_platform: false,
+        doc: "The control socket that `rookspoke status` queries. Without this section, there is none.",
+        keywords: &[keyword(
             "path",
             Kind::Text,
-            Error,
+            Required,
             "path",
-            "A Unix socket, readable for its owner alone. One that a dead daemon left is replaced.",
+            "Path of the Unix socket, which only its owner can access. A socket left by a daemon that has \
+             exited is replaced.",
         )],
     },
 ];
 
-/// The section of this name.
+/// Looks up a section by its name.
 pub fn section(name: &str) -> Option<&'static Section> {
     SECTIONS.iter().find(|section| section.name == name)
 }
 
 impl Section {
-    /// The keyword of this name.
+    /// Looks up one of the section's keywords by its name.
     pub fn keyword(&self, name: &str) -> Option<&'static Keyword> {
         self.keywords.iter().find(|keyword| keyword.name == name)
     }
 
-    /// The path of a keyword: a JSON pointer (RFC 6901). `item` is the place in the list of a section that may
-    /// come often.
+    /// JSON pointer (RFC 6901) of a keyword's value. `item` is the index of the instance in a section that is a
+    /// list.
     pub fn pointer(&self, item: Option<usize>, path: &str) -> String {
         match (path.strip_prefix('/'), item) {
-            // It leads from the root.
+            // Relative to the root, not to the section.
             (Some(path), _) => format!("/{path}"),
             (None, Some(item)) => format!("/{}/{item}/{path}", self.path),
             (None, None) if self.path.is_empty() => format!("/{path}"),
@@ -563,8 +703,8 @@
     }
 }
 
-/// The table as a page in Markdown, for `docs/configuration.md`.
-pub fn page() -> String {
+/// The table in Markdown, as it is included in `docs/configuration.md`.
+pub fn markdown() -> String {
     let mut text = String::new();
     for section in SECTIONS {
         let title = match (section.name, section.label) {
@@ -577,10 +717,10 @@
         for keyword in section.keywords {
             let default = match keyword.absent {
                 Default(text) => format!("`{text}`"),
-                Nothing => "none".into(),
-                Error => "required".into(),
+                Unset => "none".into(),
+                Required => "required".into(),
             };
-            let reload = if keyword.reload { "yes" } else { "no" };
+            let reload = if keyword.reloadable { "yes" } else { "no" };
             let kind = keyword.kind.expected();
             text.push_str(&format!(
                 "| `{}` | {kind} | {default} | {reload} | {} |\n",
--- a/crates/emulator/src/script.rs
+++ b/crates/emulator/src/script.rs
@@ -29,7 +29,7 @@
     match sources.open(path) {
         Ok(_) => parse_script(sources, environment),
         Err(error) => {
-            Err(Problems::new(vec![Problem::general(format!("{}: {error}", path.display()))], sources))
+            Err(Problems::new(vec![Problem::without_span(format!("{}: {error}", path.display()))], sources))
         }
     }
 }
@@ -94,7 +94,7 @@
         problems.extend(missing.map(|text| Problem::at(span, text)));
     }
     if scenario.classes.iter().all(|class| class.get("share") == 0.0) {
-        problems.push(Problem::general(
+        problems.push(Problem::without_span(
             "found the share 0 in every class, expected at least one class with a share above 0",
         ));
     }
@@ -115,7 +115,7 @@
     let Some(param) = find_param(PARAMS, name) else {
         let text = format!("found `{name}`, which is no parameter");
         let known = PARAMS.iter().map(|param| param.name).chain(["class", "incident"]);
-        return Err(Problem::at(line.keyword.span, text).nearest(name, known));
+        return Err(Problem::at(line.keyword.span, text).suggest(name, known));
     };
     if !environment.supports_parameter(param.name) {
         let text = format!("found `{name}`, which does not apply to real processes; use `incident link`");
@@ -125,7 +125,7 @@
         return Err(Problem::at(line.keyword.span, format!("`{name}` is given twice")));
     }
     seen_parameters.push(param.name);
-    let value = param.kind.read(&line.keyword, &line.args)?;
+    let value = param.kind.parse(&line.keyword, &line.args)?;
     scenario.values.insert(param.name, to_number(&value));
     Ok(())
 }
@@ -140,10 +140,10 @@
         let Some(param) = find_param(CLASS_PARAMS, word) else {
             let text = format!("found `{word}`, which is no parameter of a class");
             let known = CLASS_PARAMS.iter().map(|param| param.name);
-            problems.push(Problem::at(inner.keyword.span, text).nearest(word, known));
+            problems.push(Problem::at(inner.keyword.span, text).suggest(word, known));
             continue;
         };
-        match param.kind.read(&inner.keyword, &inner.args) {
+        match param.kind.parse(&inner.keyword, &inner.args) {
             Ok(value) => drop(class.values.insert(param.name, to_number(&value))),
             Err(problem) => problems.push(problem),
         }
@@ -160,7 +160,7 @@
     let Some((name, incident_kind)) = INCIDENT_KINDS.iter().find(|(name, _)| *name == kind.text) else {
         let text = format!("found `{}`, which is no kind of incident", kind.text);
         let known = INCIDENT_KINDS.iter().map(|(name, _)| *name).chain([LINK]);
-        return Err(Problem::at(kind.span, text).nearest(&kind.text, known));
+        return Err(Problem::at(kind.span, text).suggest(&kind.text, known));
     };
     if !environment.supports_incident(*incident_kind) {
         let text = format!("found `{name}`, which the emulator does not support; use `rehearse`");
@@ -175,7 +175,7 @@
             "size" => (INCIDENT_SIZE, &mut size),
             other => {
                 let text = format!("found `{other}`, expected `at`, `for`, `part` or `size`");
-                return Err(Problem::at(word.span, text).nearest(other, ["at", "for", "part", "size"]));
+                return Err(Problem::at(word.span, text).suggest(other, ["at", "for", "part", "size"]));
             }
         };
         set_once(field, parse_value(kind, word, words.next())?, word)?;
@@ -203,7 +203,7 @@
 /// Parses the value after a keyword.
 fn parse_value(kind: rookspoke_conf::Kind, word: &Word, value: Option<&Word>) -> Result<f64, Problem> {
     let value: Vec<Word> = value.into_iter().cloned().collect();
-    Ok(to_number(&kind.read(word, &value)?))
+    Ok(to_number(&kind.parse(word, &value)?))
 }
 
 fn set_once<T>(field: &mut Option<T>, value: T, word: &Word) -> Result<(), Problem> {
@@ -286,7 +286,7 @@
             let text = format!("found `{other}`, expected {FAULTS}");
             let known =
                 ["delay", "jitter", "cut", "refuse", "rate", "reset-at", "loss", "duplicate", "reorder"];
-            return Err(Problem::at(word.span, text).nearest(other, known));
+            return Err(Problem::at(word.span, text).suggest(other, known));
         }
     }
     Ok(())
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -166,15 +166,15 @@
 }
 
 fn figures(rig: &Rig) -> [(&'static str, String); 7] {
-    let counted = rig.load.counted();
-    let score = Score::from_jobs(&rig.scenario, &counted.asked);
+    let counts = rig.load.counts();
+    let score = Score::from_jobs(&rig.scenario, &counts.jobs);
     [
         ("dispatchers", rig.in_front().to_string()),
-        ("log workers", rig.plant.up().to_string()),
-        ("jobs", counted.asked.len().to_string()),
-        ("served", counted.served.to_string()),
-        ("late", counted.late.iter().sum::<usize>().to_string()),
-        ("refused, failed", format!("{}, {}", counted.refused, counted.failed)),
+        ("log workers", rig.worker_pool.available_workers().to_string()),
+        ("jobs", counts.jobs.len().to_string()),
+        ("served", counts.served.to_string()),
+        ("late", counts.late.iter().sum::<usize>().to_string()),
+        ("refused, failed", format!("{}, {}", counts.refused, counts.failed)),
         ("in time, of all so far", format!("{:.2}", score.whole)),
     ]
 }
--- a/crates/rookspoke/src/daemon.rs
+++ b/crates/rookspoke/src/daemon.rs
@@ -215,8 +215,9 @@
             return tracing::warn!("SIGHUP received: new configuration rejected: {error}");
         }
         let changes = new.resolved.changes_since(&setup.resolved);
-        let list_changed = changes.live.iter().any(|key| key == "discovery" || key.starts_with("worker "));
-        tracing::info!("SIGHUP received: settings in effect now: {}", comma_separated(&changes.live));
+        let list_changed =
+            changes.at_reload.iter().any(|key| key == "discovery" || key.starts_with("worker "));
+        tracing::info!("SIGHUP received: settings in effect now: {}", comma_separated(&changes.at_reload));
         if !changes.at_restart.is_empty() {
             tracing::warn!(
                 "SIGHUP received: settings in effect only after a restart: {}",
@@ -235,7 +236,7 @@
             is_shorter
         });
         // Settings that need a restart keep their old values here, so the next reload reports them again.
-        setup.resolved.take_live(&new.resolved);
+        setup.resolved.apply_reload(&new.resolved);
         setup.config.list_source = new.config.list_source;
     }
 }
