--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -29,10 +29,10 @@
 pub use worker::{Job, QueueOrder, StartPhase, Worker, WorkerSpec};
 
 use crate::check::{InvariantChecker, Rule, RuleLimits, RULES};
-use crate::policy::{Kind, Policy, SharedTruth, Way};
-use crate::report::{spread, Asked, ClassReport, Report, Score};
+use crate::policy::{Baseline, Policy, PolicyKind, SharedGroundTruth};
+use crate::report::{coefficient_of_variation, ClassReport, JobResult, Report, Score};
 use crate::rng::{stream, Stream};
-use crate::scenario::{Incident, Scenario, Trouble};
+use crate::scenario::{Incident, IncidentKind, Scenario};
 use fleet::{DispatcherHost, Machine};
 
 /// Interval at which the speed of a log worker in slow start is recomputed, overdue requests are looked for and the
@@ -155,7 +155,7 @@
     /// Attempts of each try that a dispatcher has received, by the try's id.
     open_requests: BTreeMap<u64, Vec<usize>>,
     checker: InvariantChecker,
-    truth: SharedTruth,
+    truth: SharedGroundTruth,
     /// The policy reads `truth`, so it has to be kept up to date.
     policy_reads_truth: bool,
     clients: SmallRng,
@@ -218,9 +218,9 @@
         quantum: scenario.span("tick"),
         limits: Limits {
             cancel: true,
-            probes: scenario.on("limits.probes"),
-            second_copies: scenario.on("limits.second-copies"),
-            retry_after: scenario.on("limits.advice"),
+            probes: scenario.is_on("limits.probes"),
+            second_copies: scenario.is_on("limits.second-copies"),
+            retry_after: scenario.is_on("limits.advice"),
             max_retry_after: Span(2_000_000),
             max_attempts: scenario.count("limits.attempts"),
         },
@@ -244,17 +244,17 @@
 ///
 /// # Errors
 /// The decision core rejects the dispatchers' settings.
-pub fn run_scenario(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Report, SettingsError> {
+pub fn run_scenario(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Result<Report, SettingsError> {
     let mut simulation = Simulation::new(scenario, kind, seed)?;
     simulation.run();
     Ok(simulation.report(kind, seed))
 }
 
 impl Simulation {
-    fn new(scenario: &Scenario, kind: Kind, seed: u64) -> Result<Self, SettingsError> {
+    fn new(scenario: &Scenario, kind: PolicyKind, seed: u64) -> Result<Self, SettingsError> {
         let (workers, dispatchers, zones) =
             (scenario.count("workers"), scenario.count("dispatchers"), scenario.count("zones"));
-        let truth = SharedTruth::default();
+        let truth = SharedGroundTruth::default();
         let mut all: Vec<Box<dyn Policy>> = Vec::new();
         for number in 0..dispatchers {
             let own_seed = stream(seed, Stream::Policy, number as u64).random();
@@ -286,10 +286,10 @@
                 drain_grace: scenario.span("rules.drain-grace"),
                 overload_multiple: scenario.get("rules.fall-multiple"),
                 overload_window: scenario.span("rules.fall-span"),
-                forbid_parallel_attempts: !scenario.on("limits.second-copies"),
+                forbid_parallel_attempts: !scenario.is_on("limits.second-copies"),
             }),
             truth: Rc::clone(&truth),
-            policy_reads_truth: kind == Kind::Plain(Way::Top),
+            policy_reads_truth: kind == PolicyKind::Baseline(Baseline::Top),
             clients: stream(seed, Stream::Clients, 0),
             network: stream(seed, Stream::Network, 0),
             discovery_rng: stream(seed, Stream::Discovery, 0),
@@ -560,7 +560,7 @@
         if harmless && request.tries <= self.scenario.count("clients.retries") && self.now < self.end {
             self.counts.retries += 1;
             let wait = self.scenario.get("clients.back-off") * (0.5 + self.retry_rng.random::<f64>());
-            let advice = advice.filter(|_| self.scenario.on("clients.heeds-advice")).unwrap_or(Span(0));
+            let advice = advice.filter(|_| self.scenario.is_on("clients.heeds-advice")).unwrap_or(Span(0));
             let wait = Span::from_ms(wait).max(advice) + delay + delay;
             self.schedule_after(wait, SimEvent::ClientSend(request_index));
         } else {
@@ -661,7 +661,7 @@
             }
             Action::Probe(worker) => {
                 if let Some(worker) =
-                    self.worker_number(&worker).filter(|_| self.scenario.on("limits.probes"))
+                    self.worker_number(&worker).filter(|_| self.scenario.is_on("limits.probes"))
                 {
                     self.counts.probes += 1;
                     let delay = self.one_way_delay(dispatcher, worker);
@@ -793,7 +793,7 @@
         let machine = &mut self.machines[worker];
         machine.worker.advance(now);
         let job = Job { attempt, slots, work, key, worth: self.scenario.classes[class].get("worth") };
-        if machine.draining && self.scenario.on("worker.hands-back") || !machine.worker.enqueue(job) {
+        if machine.draining && self.scenario.is_on("worker.hands-back") || !machine.worker.enqueue(job) {
             self.counts.turned_away += 1;
             let delay = self.one_way_delay(dispatcher, worker);
             return self.schedule_after(delay, SimEvent::AttemptEnds(attempt, Outcome::TurnedAway));
@@ -941,7 +941,7 @@
             return;
         }
         machine.worker.advance(self.now);
-        if machine.worker.remove_job(attempt, self.scenario.on("worker.cancels-running")) {
+        if machine.worker.remove_job(attempt, self.scenario.is_on("worker.cancels-running")) {
             self.attempts[attempt].at_worker = false;
             self.store.advance(self.now);
             self.store.cancel_fetches(worker, Some(attempt));
@@ -1087,9 +1087,9 @@
         let now = self.now;
         let mut truth = self.truth.borrow_mut();
         truth.backlog = self.machines.iter().map(|machine| machine.worker.backlog(now)).collect();
-        truth.takes =
+        truth.accepts_work =
             self.machines.iter().map(|m| m.up && !m.silent && !m.draining && !m.worker.paused).collect();
-        truth.bears = self
+        truth.slow_start_budget = self
             .machines
             .iter()
             .map(|m| {
@@ -1098,7 +1098,7 @@
                     .then(|| self.scenario.get("rules.fall-multiple") * m.worker.nominal_capacity(now))
             })
             .collect();
-        truth.keeps = self.machines.iter().map(|m| m.worker.archives().to_vec()).collect();
+        truth.archives = self.machines.iter().map(|m| m.worker.archives().to_vec()).collect();
     }
 
     fn reset_connections(&mut self) {
@@ -1175,7 +1175,7 @@
             self.scenario.span("discovery.notices"),
             SimEvent::DiscoveryUpdate(worker, ListedState::Draining),
         );
-        if self.scenario.on("worker.hands-back") {
+        if self.scenario.is_on("worker.hands-back") {
             self.machines[worker].worker.advance(self.now);
             for job in self.machines[worker].worker.take_waiting() {
                 let attempt = &mut self.attempts[job.attempt];
@@ -1204,14 +1204,17 @@
 
     fn start_incident(&mut self, number: usize) {
         let incident = self.scenario.incidents[number];
-        let total =
-            if incident.trouble == Trouble::HostPause { self.dispatchers.len() } else { self.machines.len() };
+        let total = if incident.kind == IncidentKind::HostPause {
+            self.dispatchers.len()
+        } else {
+            self.machines.len()
+        };
         let all = draw_affected(self.seed, number, incident.part, total);
         self.affected[number] = all.clone();
         let Incident { size, length, .. } = incident;
-        match incident.trouble {
-            Trouble::Crash | Trouble::Silent => {
-                let silent = incident.trouble == Trouble::Silent;
+        match incident.kind {
+            IncidentKind::Crash | IncidentKind::Silent => {
+                let silent = incident.kind == IncidentKind::Silent;
                 let notices = if silent { "discovery.notices-silence" } else { "discovery.notices" };
                 for worker in all.into_iter().filter(|worker| self.machines[*worker].up).collect::<Vec<_>>() {
                     self.stop_process(worker, silent);
@@ -1223,7 +1226,7 @@
                 }
                 return;
             }
-            Trouble::Rolling => {
+            IncidentKind::Rolling => {
                 let interval = Span(length.0 / all.len().max(1) as i64);
                 for (turn, worker) in all.into_iter().enumerate() {
                     let delay = Span(interval.0 * turn as i64);
@@ -1232,22 +1235,22 @@
                 }
                 return;
             }
-            Trouble::Slow => {
+            IncidentKind::Slow => {
                 self.change_affected(number, |machine| machine.worker.slowdown *= size.max(1e-3))
             }
-            Trouble::Neighbour => self.toggle_neighbour(number, true),
+            IncidentKind::Neighbour => self.toggle_neighbour(number, true),
             // The script reader rejects these incidents for the emulator.
-            Trouble::DiscoverySilent
-            | Trouble::DiscoveryOld
-            | Trouble::Slowed
-            | Trouble::Kill
-            | Trouble::Restart => return,
-            Trouble::Pause => self.change_affected(number, |machine| machine.worker.paused = true),
-            Trouble::ReportsLate => self.extra_report_delay = self.extra_report_delay + size_span(size),
-            Trouble::Resets => self.reset_rate += size,
-            Trouble::ZoneCut => self.zone_cuts += 1,
-            Trouble::Costly => self.make_costly(incident),
-            Trouble::DiscoveryGone => {
+            IncidentKind::DiscoverySilent
+            | IncidentKind::DiscoveryOld
+            | IncidentKind::Slowed
+            | IncidentKind::Kill
+            | IncidentKind::Restart => return,
+            IncidentKind::Pause => self.change_affected(number, |machine| machine.worker.paused = true),
+            IncidentKind::ReportsLate => self.extra_report_delay = self.extra_report_delay + size_span(size),
+            IncidentKind::Resets => self.reset_rate += size,
+            IncidentKind::ZoneCut => self.zone_cuts += 1,
+            IncidentKind::Costly => self.make_costly(incident),
+            IncidentKind::DiscoveryGone => {
                 self.discovery_outages += 1;
                 for dispatcher in 0..self.dispatchers.len() {
                     if std::mem::take(&mut self.dispatchers[dispatcher].subscribed) {
@@ -1258,7 +1261,7 @@
                     }
                 }
             }
-            Trouble::HostPause => {
+            IncidentKind::HostPause => {
                 for dispatcher in all {
                     self.dispatchers[dispatcher].paused = true;
                     self.dispatchers[dispatcher].paused_until = self.now + length;
@@ -1302,44 +1305,44 @@
     }
 
     fn end_incident(&mut self, number: usize) {
-        let Incident { trouble, size, .. } = self.scenario.incidents[number];
-        match trouble {
-            Trouble::Slow => {
+        let Incident { kind, size, .. } = self.scenario.incidents[number];
+        match kind {
+            IncidentKind::Slow => {
                 self.change_affected(number, |machine| machine.worker.slowdown /= size.max(1e-3))
             }
-            Trouble::Pause => self.change_affected(number, |machine| machine.worker.paused = false),
-            Trouble::ReportsLate => self.extra_report_delay = self.extra_report_delay - size_span(size),
-            Trouble::Resets => self.reset_rate = (self.reset_rate - size).max(0.0),
-            Trouble::ZoneCut => self.zone_cuts -= 1,
-            Trouble::DiscoveryGone => self.discovery_outages -= 1,
-            Trouble::HostPause => {
+            IncidentKind::Pause => self.change_affected(number, |machine| machine.worker.paused = false),
+            IncidentKind::ReportsLate => self.extra_report_delay = self.extra_report_delay - size_span(size),
+            IncidentKind::Resets => self.reset_rate = (self.reset_rate - size).max(0.0),
+            IncidentKind::ZoneCut => self.zone_cuts -= 1,
+            IncidentKind::DiscoveryGone => self.discovery_outages -= 1,
+            IncidentKind::HostPause => {
                 for dispatcher in self.affected[number].clone() {
                     self.dispatchers[dispatcher].paused = false;
                     self.plan_batch(dispatcher, self.now);
                 }
             }
-            Trouble::Neighbour => self.toggle_neighbour(number, false),
-            Trouble::Crash | Trouble::Silent | Trouble::Rolling | Trouble::Costly => {}
-            Trouble::DiscoverySilent
-            | Trouble::DiscoveryOld
-            | Trouble::Slowed
-            | Trouble::Kill
-            | Trouble::Restart => {}
+            IncidentKind::Neighbour => self.toggle_neighbour(number, false),
+            IncidentKind::Crash | IncidentKind::Silent | IncidentKind::Rolling | IncidentKind::Costly => {}
+            IncidentKind::DiscoverySilent
+            | IncidentKind::DiscoveryOld
+            | IncidentKind::Slowed
+            | IncidentKind::Kill
+            | IncidentKind::Restart => {}
         }
     }
 
     // Report.
 
-    fn report(&self, kind: Kind, seed: u64) -> Report {
+    fn report(&self, kind: PolicyKind, seed: u64) -> Report {
         let mut in_time = vec![false; self.requests.len()];
         for (request, _, timely, _) in &self.served {
             in_time[*request] = *timely;
         }
         let requests = self.requests.iter().zip(in_time);
-        let asked: Vec<Asked> = requests
-            .map(|(request, in_time)| Asked { class: request.class, at: request.intended_at, in_time })
+        let asked: Vec<JobResult> = requests
+            .map(|(request, in_time)| JobResult { class: request.class, at: request.intended_at, in_time })
             .collect();
-        let score = Score::of(&self.scenario, &asked);
+        let score = Score::from_jobs(&self.scenario, &asked);
         let classes = self.scenario.classes.iter().enumerate().map(|(number, class)| ClassReport {
             name: class.name.clone(),
             jobs: asked.iter().filter(|job| job.class == number).count(),
@@ -1377,7 +1380,9 @@
             mean_ms: self.latency.mean() / 1000.0,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
-            spread: spread(&self.machines.iter().map(|m| m.worker.core_seconds).collect::<Vec<_>>()),
+            spread: coefficient_of_variation(
+                &self.machines.iter().map(|m| m.worker.core_seconds).collect::<Vec<_>>(),
+            ),
             rules: violations,
             first_broken: self.checker.first_violations().to_vec(),
         }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -11,9 +11,9 @@
 use rookspoke_decisions::Span;
 use rookspoke_emulator::check::RULES;
 use rookspoke_emulator::model::{draw_affected, draw_arrivals, is_costly, Arrival};
-use rookspoke_emulator::report::{spread, ClassReport, Report, Score};
+use rookspoke_emulator::report::{coefficient_of_variation, ClassReport, Report, Score};
 use rookspoke_emulator::rng::{stream, Stream};
-use rookspoke_emulator::scenario::{Incident, Scenario, Trouble};
+use rookspoke_emulator::scenario::{Incident, IncidentKind, Scenario};
 use serde::Serialize;
 use thiserror::Error;
 use tokio::net::TcpListener;
@@ -342,7 +342,7 @@
     pub fn arrivals(&self) -> Vec<Arrival> {
         let (s, seed) = (&self.scenario, self.options.seed);
         let mut all = draw_arrivals(s, seed, &mut stream(seed, Stream::Clients, 0));
-        for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
+        for incident in s.incidents.iter().filter(|incident| incident.kind == IncidentKind::Costly) {
             for (number, arrival) in all.iter_mut().enumerate() {
                 if is_costly(seed, number, arrival.intended_at, incident) {
                     arrival.work *= incident.size;
@@ -386,20 +386,22 @@
     /// # Errors
     /// A dispatcher that was to start again did not.
     pub async fn incident(self: &Arc<Self>, number: usize, incident: &Incident) -> Result<(), StartError> {
-        let Incident { trouble, size, length, part, .. } = *incident;
-        let of_dispatchers =
-            matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
+        let Incident { kind, size, length, part, .. } = *incident;
+        let of_dispatchers = matches!(
+            kind,
+            IncidentKind::HostPause | IncidentKind::Slowed | IncidentKind::Kill | IncidentKind::Restart
+        );
         let of = if of_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
         let all = draw_affected(self.options.seed, number, part, of);
-        self.says(format!("incident {number}, {trouble:?}, begins"));
+        self.says(format!("incident {number}, {kind:?}, begins"));
         let lasts = lasting(length);
-        match trouble {
-            Trouble::Crash | Trouble::Silent => {
-                self.worker_pool.crash(&all, trouble == Trouble::Silent);
+        match kind {
+            IncidentKind::Crash | IncidentKind::Silent => {
+                self.worker_pool.crash(&all, kind == IncidentKind::Silent);
                 lasts.await;
                 self.worker_pool.restart(&all);
             }
-            Trouble::Rolling => {
+            IncidentKind::Rolling => {
                 let step = Span(length.0 / all.len().max(1) as i64);
                 let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
@@ -417,12 +419,12 @@
                 }
                 while turns.join_next().await.is_some() {}
             }
-            Trouble::Slow => {
+            IncidentKind::Slow => {
                 self.worker_pool.update_workers(&all, |worker| worker.slowdown *= size.max(1e-3));
                 lasts.await;
                 self.worker_pool.update_workers(&all, |worker| worker.slowdown /= size.max(1e-3));
             }
-            Trouble::Neighbour => {
+            IncidentKind::Neighbour => {
                 let end = self.event_log.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
                 while self.event_log.clock().now() < end {
@@ -432,18 +434,18 @@
                 }
                 self.worker_pool.update_workers(&all, |worker| worker.cpu_steal = 0.0);
             }
-            Trouble::Pause => {
+            IncidentKind::Pause => {
                 self.worker_pool.update_workers(&all, |worker| worker.paused = true);
                 lasts.await;
                 self.worker_pool.update_workers(&all, |worker| worker.paused = false);
             }
-            Trouble::ReportsLate => {
+            IncidentKind::ReportsLate => {
                 let later = Span::from_ms(size * 1000.0);
                 self.worker_pool.delay_reports(later);
                 lasts.await;
                 self.worker_pool.delay_reports(Span(-later.0));
             }
-            Trouble::Resets => {
+            IncidentKind::Resets => {
                 let mut rng = stream(self.options.seed, Stream::Network, number as u64);
                 let end = self.event_log.clock().now() + length;
                 while self.event_log.clock().now() < end {
@@ -452,17 +454,17 @@
                 }
             }
             // Jobs are dear from the start; cut zones are links.
-            Trouble::Costly | Trouble::ZoneCut => lasts.await,
-            Trouble::DiscoveryGone | Trouble::DiscoverySilent | Trouble::DiscoveryOld => {
-                self.discovery_server.set_mode(match trouble {
-                    Trouble::DiscoverySilent => DiscoveryMode::Silent,
-                    Trouble::DiscoveryOld => DiscoveryMode::Stale,
+            IncidentKind::Costly | IncidentKind::ZoneCut => lasts.await,
+            IncidentKind::DiscoveryGone | IncidentKind::DiscoverySilent | IncidentKind::DiscoveryOld => {
+                self.discovery_server.set_mode(match kind {
+                    IncidentKind::DiscoverySilent => DiscoveryMode::Silent,
+                    IncidentKind::DiscoveryOld => DiscoveryMode::Stale,
                     _ => DiscoveryMode::Refusing,
                 });
                 lasts.await;
                 self.discovery_server.set_mode(DiscoveryMode::Normal);
             }
-            Trouble::HostPause => {
+            IncidentKind::HostPause => {
                 for number in &all {
                     self.dispatchers[*number].stop().await;
                 }
@@ -471,7 +473,7 @@
                     self.dispatchers[*number].resume().await;
                 }
             }
-            Trouble::Slowed => {
+            IncidentKind::Slowed => {
                 let length = duration(length);
                 let mut slow = JoinSet::new();
                 for number in all {
@@ -480,14 +482,14 @@
                 }
                 while slow.join_next().await.is_some() {}
             }
-            Trouble::Kill => {
+            IncidentKind::Kill => {
                 for number in &all {
                     self.kill(*number).await;
                 }
                 lasts.await;
                 self.again(all).await?;
             }
-            Trouble::Restart => {
+            IncidentKind::Restart => {
                 let step = Span(length.0 / all.len().max(1) as i64);
                 let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
@@ -502,7 +504,7 @@
                 all_joined(turns).await?;
             }
         }
-        self.says(format!("incident {number}, {trouble:?}, is over"));
+        self.says(format!("incident {number}, {kind:?}, is over"));
         Ok(())
     }
 
@@ -571,7 +573,7 @@
     /// The figures that the emulator gives of a run, from what was seen here.
     fn report(&self, violations: &[Violation]) -> Report {
         let counted = self.load.counts();
-        let score = Score::of(&self.scenario, &counted.jobs);
+        let score = Score::from_jobs(&self.scenario, &counted.jobs);
         let classes = self.scenario.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
             jobs: counted.jobs.iter().filter(|job| job.class == class).count(),
@@ -611,7 +613,7 @@
             mean_ms: counted.latency.mean() / 1000.0,
             p50_ms: quantile(0.5),
             p99_ms: quantile(0.99),
-            spread: spread(&self.worker_pool.busy_seconds()),
+            spread: coefficient_of_variation(&self.worker_pool.busy_seconds()),
             rules,
             first_broken: violations.iter().take(SENTENCES).map(sentence).collect(),
         }
--- a/crates/rig/src/worker_pool.rs
+++ b/crates/rig/src/worker_pool.rs
@@ -340,7 +340,7 @@
         let job = Job { attempt, slots: body.slots, work: body.work, key: body.key, worth: body.worth };
         let process = &mut pool.processes[worker];
         process.worker.advance(now);
-        let hands_back = process.draining && self.0.scenario.on("worker.hands-back");
+        let hands_back = process.draining && self.0.scenario.is_on("worker.hands-back");
         if hands_back || !process.worker.enqueue(job) {
             self.0.event_log.record(Event::TurnedAway { id, worker });
             return Admission::Rejected;
@@ -381,7 +381,7 @@
         let Some(Attempt { worker, .. }) = pool.attempts.get(&attempt) else { return };
         let (worker, now) = (*worker, self.now());
         pool.processes[worker].worker.advance(now);
-        let running = self.0.scenario.on("worker.cancels-running");
+        let running = self.0.scenario.is_on("worker.cancels-running");
         if pool.processes[worker].worker.remove_job(attempt, running) {
             pool.attempts.remove(&attempt);
             pool.store.advance(now);
@@ -507,7 +507,7 @@
             worker,
             ListedState::Draining,
         );
-        if self.0.scenario.on("worker.hands-back") {
+        if self.0.scenario.is_on("worker.hands-back") {
             pool.processes[worker].worker.advance(now);
             for job in pool.processes[worker].worker.take_waiting() {
                 if let Some(attempt) = pool.attempts.remove(&job.attempt) {
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,11 +1,11 @@
 //! Runs drawn from seeds: they are reproducible, valid scripts, and a failing one is reduced to the parts that fail.
 
-use rookspoke_emulator::scenario::{Scenario, Stage};
+use rookspoke_emulator::scenario::{Environment, Scenario};
 use rookspoke_emulator::script;
 use rookspoke_rig::soak::{Drawn, Sizes};
 
 fn scenario(drawn: &Drawn) -> Scenario {
-    script::read_text("drawn", &drawn.script(), Stage::Processes)
+    script::read_text("drawn", &drawn.script(), Environment::Processes)
         .unwrap_or_else(|problems| panic!("{drawn}\n{}", problems.render()))
 }
 
@@ -18,7 +18,7 @@
         let scenario = scenario(&drawn);
         assert!((2..=30).contains(&scenario.count("dispatchers")), "{drawn}");
         assert!((1..=40).contains(&scenario.count("workers")), "{drawn}");
-        let troubles = scenario.incidents.len() + scenario.disturbances.len();
+        let troubles = scenario.incidents.len() + scenario.link_incidents.len();
         assert!((2..=5).contains(&troubles) && troubles == drawn.incidents.len(), "{drawn}");
         with_faults += usize::from(drawn.schedule().is_some());
         largest = largest.max(scenario.count("dispatchers"));
