--- a/crates/channel/src/subchannel.rs
+++ b/crates/channel/src/subchannel.rs
@@ -115,8 +115,7 @@
     }
 
     /// Whether the list may still be used, judged by the open watch and by unreadable updates. A watch that
-    /// has been silent for `TOLD_WITHIN` is dead, even if this process was scheduled too late to have
-    /// noticed.
+    /// has been silent for this long is dead, even if this process was scheduled too late to have noticed.
     fn is_list_valid(&self, now: Time) -> bool {
         !self.list_unreadable.load(Ordering::Acquire)
             && Time(self.last_watch_message.load(Ordering::Acquire)) + TOLD_WITHIN > now
