--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Error)]
 pub enum EjectionError {
     /// No log worker has this id.
-    #[error("found no log worker with this id, expected one that is listed or manually ejected")]
+    #[error("found no log worker of this id, expected one that is listed or out by hand")]
     UnknownWorker,
     /// The change cannot be made now; the text says why.
     #[error("{0}")]
@@ -97,38 +97,30 @@
 }
 
 impl Command {
-    fn parse(method: &Method, path: &str) -> Result<Self, (StatusCode, String)> {
+    fn parse(method: &Method, path: &str) -> Result<Self, (StatusCode, &'static str)> {
         let only = |expected: Method, command| match *method == expected {
             true => Ok(command),
-            false => Err((
-                StatusCode::METHOD_NOT_ALLOWED,
-                format!("found method {method}, expected {expected} for this path"),
-            )),
+            false => Err((StatusCode::METHOD_NOT_ALLOWED, "expected GET for figures, PUT for a change")),
         };
         match path {
             READY => return only(Method::GET, Command::Ready),
             COUNTERS => return only(Method::GET, Command::Counters),
             _ => {}
         }
-        let unknown_path = || {
-            let text =
-                format!("unknown path, expected {READY}, {COUNTERS} or {WORKERS}ID/offline or /online");
-            (StatusCode::NOT_FOUND, text)
-        };
+        let unknown_path = (StatusCode::NOT_FOUND, "found a path that is not known");
         let (worker, change) =
-            path.strip_prefix(WORKERS).and_then(|rest| rest.rsplit_once('/')).ok_or_else(unknown_path)?;
+            path.strip_prefix(WORKERS).and_then(|rest| rest.rsplit_once('/')).ok_or(unknown_path)?;
         let ejected = match change {
             "offline" => true,
             "online" => false,
-            _ => return Err(unknown_path()),
+            _ => return Err(unknown_path),
         };
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:@".contains(&byte);
         if !(1..=MAX_ID).contains(&worker.len()) || !worker.bytes().all(is_allowed) {
-            let text = format!(
-                "found an id of {} bytes, expected 1 to {MAX_ID} letters, digits or any of -._~:@",
-                worker.len()
-            );
-            return Err((StatusCode::BAD_REQUEST, text));
+            return Err((
+                StatusCode::BAD_REQUEST,
+                "found an id with other signs than letters, digits and -._~:@",
+            ));
         }
         only(Method::PUT, Command::SetEjected { worker: worker.to_owned(), ejected })
     }
@@ -137,17 +129,14 @@
 /// Reads a request with its body, so that an incomplete request has no effect.
 async fn read_request(request: Request<Incoming>) -> Result<Request<Bytes>, Response<Full<Bytes>>> {
     let (parts, body) = request.into_parts();
-    let too_long = || {
-        let text = format!("found a request body of more than {MAX_BODY} bytes, expected none");
-        plain_text(StatusCode::PAYLOAD_TOO_LARGE, text)
-    };
+    let too_long = || plain_text(StatusCode::PAYLOAD_TOO_LARGE, "found a long body, expected none");
     if body.size_hint().lower() > MAX_BODY as u64 {
         return Err(too_long());
     }
     match Limited::new(body, MAX_BODY).collect().await {
         Ok(body) => Ok(Request::from_parts(parts, body.to_bytes())),
         Err(error) if error.is::<LengthLimitError>() => Err(too_long()),
-        Err(_) => Err(plain_text(StatusCode::BAD_REQUEST, "the request body is incomplete or malformed")),
+        Err(_) => Err(plain_text(StatusCode::BAD_REQUEST, "the body broke off")),
     }
 }
 
@@ -163,11 +152,8 @@
         Command::SetEjected { worker, ejected } => {
             let state = if ejected { "offline" } else { "online" };
             let change = tokio::time::timeout(CHANGE_TIMEOUT, operators.set_ejected(&worker, ejected)).await;
-            let result = change.unwrap_or_else(|_| {
-                let text =
-                    format!("the change was not completed within {CHANGE_TIMEOUT:?}; repeat the request");
-                Err(EjectionError::Failed(text))
-            });
+            let result =
+                change.unwrap_or_else(|_| Err(EjectionError::Failed("not done in time; ask again".into())));
             match result {
                 Ok(()) => {
                     tracing::info!("operator request: log worker {worker} is now {state}");
--- a/crates/faktory/src/codec.rs
+++ b/crates/faktory/src/codec.rs
@@ -41,7 +41,6 @@
 
 /// Identity of a client.
 #[derive(Debug, Deserialize)]
-#[serde(expecting = "an object with `v`")]
 pub struct Hello {
     /// Version of the protocol that the client speaks.
     pub v: u32,
@@ -51,7 +50,6 @@
 
 /// Heartbeat of a consumer.
 #[derive(Debug, Deserialize)]
-#[serde(expecting = "an object with `wid`")]
 pub struct Beat {
     /// Worker id of the consumer.
     pub wid: String,
@@ -78,7 +76,6 @@
 
 /// The fields of a job's `custom` hash that this dispatcher reads; all others are left to the consumers.
 #[derive(Debug, Default, Deserialize)]
-#[serde(expecting = "an object in `custom`")]
 pub struct Custom {
     /// Key of the data that the job works on: jobs with the same key are kept together.
     pub key: Option<String>,
@@ -89,7 +86,8 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "an object with `jid`, `jobtype` and `args`")]
+// Error replies to clients contain this text.
+#[serde(expecting = "struct JobFields")]
 struct RawJob {
     jid: String,
     jobtype: String,
@@ -102,7 +100,8 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "an object with `jid`")]
+// Error replies to clients contain this text.
+#[serde(expecting = "struct Jid")]
 struct Report {
     jid: String,
 }
@@ -157,19 +156,18 @@
 
 impl Job {
     fn parse(text: &str) -> Result<Self, CommandError> {
-        let malformed = |reason: String| CommandError::Malformed { verb: "PUSH", reason };
+        let malformed = |reason: &str| CommandError::Malformed { verb: "PUSH", reason: reason.into() };
         let fields: RawJob = parse_json("PUSH", text)?;
         if !JID_LEN.contains(&fields.jid.len()) {
-            let found = fields.jid.len();
-            return Err(malformed(format!("jid: found {found} bytes, expected 8 to 256")));
+            return Err(malformed("jid: 8 to 256 characters"));
         }
         if fields.at.is_some_and(|at| !at.is_empty()) {
             // Jobs are kept in memory only and for seconds, so they cannot be scheduled for later.
-            return Err(malformed("at: scheduled jobs are not supported".into()));
+            return Err(malformed("at: scheduled jobs are not taken"));
         }
         let custom = fields.custom.unwrap_or_default();
-        if let Some(slots) = custom.slots.filter(|slots| !slots.is_finite() || *slots < 0.0) {
-            return Err(malformed(format!("custom.slots: found {slots}, expected 0 or more")));
+        if custom.slots.is_some_and(|slots| !slots.is_finite() || slots < 0.0) {
+            return Err(malformed("custom.slots: 0 or more"));
         }
         Ok(Job {
             jid: fields.jid,
--- a/crates/faktory/src/server.rs
+++ b/crates/faktory/src/server.rs
@@ -299,7 +299,7 @@
             None => return Ok(()),
             _ => {
                 self.shared.handle.counters().malformed.increment();
-                let error = format!("expected HELLO with v {VERSION} as the first command");
+                let error = format!("HELLO with v {VERSION} comes first");
                 return self.reply(Reply::Error(error)).await;
             }
         }
@@ -346,7 +346,7 @@
 
     async fn execute(&mut self, command: Command) -> Option<Reply> {
         Some(match command {
-            Command::Hello(_) => Reply::Error("HELLO was sent before on this connection".into()),
+            Command::Hello(_) => Reply::Error("HELLO was said already".into()),
             Command::Push(job) => return self.push(*job).await,
             Command::Fetch(queues) => return self.fetch(&queues).await,
             Command::Ack(jid) => self.complete(&jid, Ok(())),
@@ -378,7 +378,7 @@
             Some(Reply::Error(reason))
         };
         if *shared.phase.borrow() > Phase::Serving {
-            return reject("this server is shutting down: push elsewhere".into());
+            return reject("this server is about to end: push elsewhere".into());
         }
         if !*shared.active.borrow() {
             return reject("this server is a backup: push to the master".into());
@@ -425,7 +425,7 @@
             // A producer without a reply may push the job again, so the request is dropped.
             () = self.client_disconnected() => return None,
             notified = accepted => if notified.is_err() {
-                return Some(Reply::Error("the dispatcher core has stopped".into()));
+                return Some(Reply::Error("the core has ended".into()));
             },
         }
         open_job.accepted = true;
@@ -508,7 +508,7 @@
 /// Error text of a refused job.
 fn unavailable(retry_after: Option<Span>) -> String {
     match retry_after {
-        Some(span) => format!("unavailable: retry in {} s", span.secs()),
-        None => "unavailable: retry later".into(),
+        Some(span) => format!("unavailable: come back in {} s", span.secs()),
+        None => "unavailable: come back later".into(),
     }
 }
--- a/crates/rookspoke/src/operators.rs
+++ b/crates/rookspoke/src/operators.rs
@@ -197,8 +197,7 @@
     async fn set_ejected(&self, worker: &str, ejected: bool) -> Result<(), EjectionError> {
         let Some(bans) = &self.bans else {
             return Err(EjectionError::Failed(
-                "found no `state` folder in the configuration, expected one that outlives this process"
-                    .into(),
+                "found no folder for `state`, expected one that outlives this process".into(),
             ));
         };
         if !bans.fronts.is_known(worker).await {
--- a/crates/rookspoke/tests/faktory.rs
+++ b/crates/rookspoke/tests/faktory.rs
@@ -49,19 +49,19 @@
     .map(|command| producer.say(command))
     .collect();
     insta::assert_snapshot!(replies.join("\n"), @r#"
-    -ERR HELLO was sent before on this connection
+    -ERR HELLO was said already
     -ERR malformed PUSH: EOF while parsing a value at line 1 column 7
-    -ERR malformed PUSH: jid: found 5 bytes, expected 8 to 256
-    -ERR malformed PUSH: at: scheduled jobs are not supported
+    -ERR malformed PUSH: jid: 8 to 256 characters
+    -ERR malformed PUSH: at: scheduled jobs are not taken
     -ERR jobtype "unheard-of" is not known
     -ERR only a client whose HELLO has a wid may FETCH
     -ERR "FLUSH" is not supported
-    -ERR malformed ACK: invalid type: integer `7`, expected an object with `jid` at line 1 column 1
+    -ERR malformed ACK: invalid type: integer `7`, expected struct Jid at line 1 column 1
     -ERR a command is longer than 65536 bytes
     "#);
     let mut rude = Peer::silent(to);
     rude.reply();
-    assert_eq!(rude.say("PUSH {}"), "-ERR expected HELLO with v 2 as the first command");
+    assert_eq!(rude.say("PUSH {}"), "-ERR HELLO with v 2 comes first");
     daemon.wait_counters("faktory", &["taken=0", "turned_down=1", "malformed=7"]);
 }
 
@@ -235,7 +235,7 @@
     assert_eq!(consumer.fetched()["jid"], "job-00000001");
     daemon.signal("TERM");
     wait_for("a refusal", || {
-        producer.push(&job("job-00000002", "no-such")).contains("shutting down").then_some(())
+        producer.push(&job("job-00000002", "no-such")).contains("about to end").then_some(())
     });
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     assert!(daemon.wait_exit().success());
@@ -253,7 +253,7 @@
     let mut others: Vec<Peer> = (2..12).map(|n| waiting(&daemon, &format!("c-{n}"))).collect();
     daemon.signal("TERM");
     wait_for("a refusal", || {
-        producer.push(&job("job-00000002", "no-such")).contains("shutting down").then_some(())
+        producer.push(&job("job-00000002", "no-such")).contains("about to end").then_some(())
     });
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     for other in &mut others {
--- a/crates/state/src/bans.rs
+++ b/crates/state/src/bans.rs
@@ -33,7 +33,7 @@
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
     /// The change is in effect for every process, but may be lost in a power failure. Repeating the call completes it.
-    #[error("the change is in effect, but may not be on disk yet; repeat the request: {0}: {1}")]
+    #[error("the change holds, but the disk may not have it yet; call again: {0}: {1}")]
     NotDurable(PathBuf, io::Error),
     /// Another process is changing the set; the call can be retried soon.
     #[error("{0}: another process holds the lock")]
@@ -42,7 +42,7 @@
     #[error("{0}; and {1}")]
     Damaged(FileError, FileError),
     /// The set has [`MAX_BANS`] entries.
-    #[error("found {MAX_BANS} manually ejected log workers already, expected fewer")]
+    #[error("found {MAX_BANS} log workers out by hand already, expected fewer")]
     Full,
     /// The log worker's name, of this many bytes, is empty, too long or contains a line break.
     #[error("found a name of {0} bytes, expected 1 to {MAX_NAME_BYTES} bytes without a line break")]
