--- a/crates/channel/src/report.rs
+++ b/crates/channel/src/report.rs
@@ -32,7 +32,7 @@
 ) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for (name, value) in fields.filter(|(_, value)| value.is_finite()) {
-        column(name, vocabulary).put(&mut report, value);
+        column(name, vocabulary).store(&mut report, value);
     }
     (report != LoadReport::default()).then_some(report)
 }
@@ -47,5 +47,5 @@
         "qps" => "served_ps",
         other => other,
     };
-    vocabulary.column(column_name)
+    vocabulary.report_field(column_name)
 }
--- a/crates/wire/src/encode.rs
+++ b/crates/wire/src/encode.rs
@@ -1,4 +1,4 @@
-//! Reply lines.
+//! Encodes the output lines of the simulator's protocol.
 
 use std::fmt::Write;
 
@@ -6,27 +6,28 @@
 
 use rookspoke_decisions::{Action, Span};
 
-/// Names the instance whose actions follow.
-pub fn encode_instance(out: &mut String, who: u64) {
-    let _ = writeln!(out, "on_behalf\t{who}");
+/// Writes the line that names the instance of the actions that follow.
+pub fn encode_instance(out: &mut String, instance: u64) {
+    let _ = writeln!(out, "on_behalf\t{instance}");
 }
 
-/// Declares that the decisions have failed.
-pub fn encode_fault(out: &mut String, text: &str) {
+/// Writes the line that reports the failure of an instance, with its panic message.
+pub fn encode_failure(out: &mut String, text: &str) {
     let _ = writeln!(out, "give_in\t{}", one_line(text));
 }
 
+/// Replaces line breaks and tabs, which separate lines and fields.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r', '\t'], " ")
 }
 
 fn ms_or_absent(span: Option<Span>) -> String {
-    span.map_or("-".into(), |s| s.ms().to_string())
+    span.map_or("-".into(), |span| span.ms().to_string())
 }
 
-/// Writes one action as a reply line.
+/// Writes the line of an action.
 pub fn encode_action(out: &mut String, action: &Action) {
-    // Writing to a String cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = match action {
         Action::Send { request, worker, timeout, .. } => {
             writeln!(out, "call_out\t{request}\t{worker}\t{}", ms_or_absent(*timeout))
@@ -42,7 +43,7 @@
         Action::Probe(worker) => writeln!(out, "probe\t{worker}"),
         Action::CloseIdle(worker) => writeln!(out, "release\t{worker}"),
         Action::SendToPeer { peer, content } => {
-            let to = peer.map_or("-1".into(), |p| p.to_string());
+            let to = peer.map_or("-1".into(), |peer| peer.to_string());
             let bytes = if content.is_empty() { "-".into() } else { BASE64_STANDARD.encode(content) };
             writeln!(out, "publish\t{to}\t{bytes}")
         }
--- a/crates/wire/src/parse.rs
+++ b/crates/wire/src/parse.rs
@@ -1,4 +1,4 @@
-//! Input lines.
+//! Parses the input lines of the simulator's protocol: a message name and its fields, separated by tabs.
 
 use std::str::Split;
 
@@ -10,65 +10,70 @@
     Request, RequestId, Span, TenantId, Time,
 };
 
-/// One input line; values that depend on an instance's settings are read with its [`Vocabulary`].
+/// An input line. Values that depend on an instance's settings are parsed with its [`Vocabulary`].
 #[derive(Debug)]
 pub enum Line<'a> {
-    /// A batch begins at this time.
+    /// Start of a batch of events, and the current time.
     Batch(Time),
-    /// The batch is complete.
+    /// End of the batch; the reply is due.
     Flush,
-    /// The next events are this instance's.
-    At(u64),
-    /// An instance starts: its seed and its settings pairs.
-    Born(u64, Split<'a, char>),
-    /// An instance was killed.
-    Exit,
-    /// A numbered list begins; this many entries follow.
-    Sheet(usize, usize),
-    /// News of the list for this instance: scope and list number.
-    Directory(ListScope, usize),
-    /// Any other event.
+    /// Selects the instance that the following lines are for.
+    SelectInstance(u64),
+    /// Starts the selected instance, with a seed and its settings as `key=value` pairs.
+    Start(u64, Split<'a, char>),
+    /// The selected instance was killed.
+    Killed,
+    /// Start of a list of log workers: the number of its buffer, and the count of entry lines that follow.
+    List(usize, usize),
+    /// A list update for the selected instance: its scope, and the number of the buffer with its entries.
+    ListUpdate(ListScope, usize),
+    /// Any other event for the selected instance.
     Event(Event),
 }
 
+/// The remaining fields of a line.
 struct Fields<'a>(Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    fn opt(&mut self) -> Option<&'a str> {
-        self.0.next().filter(|v| *v != "-")
+    /// The next field. `-` stands for an absent value.
+    fn optional(&mut self) -> Option<&'a str> {
+        self.0.next().filter(|value| *value != "-")
     }
     fn text(&mut self, field: &str) -> Result<&'a str, WireError> {
-        self.opt().ok_or_else(|| WireError::new(field, "missing"))
+        self.optional().ok_or_else(|| WireError::new(field, "missing"))
     }
-    fn opt_num(&mut self, field: &str) -> Result<Option<f64>, WireError> {
-        let number = |v: &str| v.parse().ok().filter(|n: &f64| n.is_finite());
-        self.opt().map(|v| number(v).ok_or_else(|| unread(field, v))).transpose()
+    fn optional_number(&mut self, field: &str) -> Result<Option<f64>, WireError> {
+        let parse = |value: &str| value.parse().ok().filter(|number: &f64| number.is_finite());
+        self.optional().map(|value| parse(value).ok_or_else(|| invalid(field, value))).transpose()
     }
-    fn num(&mut self, field: &str) -> Result<f64, WireError> {
-        self.opt_num(field)?.ok_or_else(|| WireError::new(field, "missing"))
+    fn number(&mut self, field: &str) -> Result<f64, WireError> {
+        self.optional_number(field)?.ok_or_else(|| WireError::new(field, "missing"))
     }
-    fn int<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, WireError> {
-        let v = self.text(field)?;
-        v.parse().map_err(|_| unread(field, v))
+    fn integer<T: std::str::FromStr>(&mut self, field: &str) -> Result<T, WireError> {
+        let value = self.text(field)?;
+        value.parse().map_err(|_| invalid(field, value))
     }
-    fn id(&mut self, field: &str) -> Result<RequestId, WireError> {
-        let v = self.text(field)?;
-        let plain = v.len() == 16 && v.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        let id = u64::from_str_radix(v, 16).ok().filter(|_| plain);
-        id.map(RequestId).ok_or_else(|| unread(field, v))
+    /// A request id: exactly 16 lower-case hexadecimal digits.
+    fn request_id(&mut self, field: &str) -> Result<RequestId, WireError> {
+        let value = self.text(field)?;
+        let is_hex = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
+        let well_formed = value.len() == 16 && value.bytes().all(is_hex);
+        let id = u64::from_str_radix(value, 16).ok().filter(|_| well_formed);
+        id.map(RequestId).ok_or_else(|| invalid(field, value))
     }
 }
 
-fn unread(field: &str, found: &str) -> WireError {
+fn invalid(field: &str, found: &str) -> WireError {
     WireError::new(field, format!("{found:?}"))
 }
 
-fn place(names: &[Name], field: &str, name: &str) -> Result<usize, WireError> {
-    names.iter().position(|n| n.as_ref() == name).ok_or_else(|| unread(field, name))
+/// The index of a name in a list of the settings.
+fn index_of(names: &[Name], field: &str, name: &str) -> Result<usize, WireError> {
+    names.iter().position(|known| known.as_ref() == name).ok_or_else(|| invalid(field, name))
 }
 
-fn outcome(f: &mut Fields) -> Result<Outcome, WireError> {
-    Ok(match f.text("outcome")? {
+fn parse_outcome(fields: &mut Fields) -> Result<Outcome, WireError> {
+    Ok(match fields.text("outcome")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
         "turned_away" => Outcome::TurnedAway,
@@ -77,37 +82,41 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
-        v => return Err(unread("outcome", v)),
+        other => return Err(invalid("outcome", other)),
     })
 }
 
-fn load(f: &mut Fields, words: &Vocabulary) -> Result<Option<LoadReport>, WireError> {
-    let Some(row) = f.opt() else { return Ok(None) };
+/// Parses a load report: numbers separated by commas, in the order of the report columns of the settings.
+/// Columns without a value are skipped.
+fn parse_load(fields: &mut Fields, vocabulary: &Vocabulary) -> Result<Option<LoadReport>, WireError> {
+    let Some(row) = fields.optional() else { return Ok(None) };
     let mut report = LoadReport::default();
-    for (column, v) in words.report.iter().zip(row.split(',')) {
-        if v == "-" || v.is_empty() {
+    for (column, text) in vocabulary.report_fields.iter().zip(row.split(',')) {
+        if text == "-" || text.is_empty() {
             continue;
         }
-        let value = v.parse().ok().filter(|n: &f64| n.is_finite());
-        column.put(&mut report, value.ok_or_else(|| unread("telemetry", row))?);
+        let value = text.parse().ok().filter(|number: &f64| number.is_finite());
+        column.store(&mut report, value.ok_or_else(|| invalid("telemetry", row))?);
     }
     Ok(Some(report))
 }
 
-fn request(f: &mut Fields, words: &Vocabulary) -> Result<Request, WireError> {
-    let id = f.id("ticket")?;
-    let class = ClassId(place(&words.classes, "qos", f.text("qos")?)?);
-    let hint = f.opt_num("size_hint_ms")?;
-    let tenant = match f.opt() {
+fn parse_request(fields: &mut Fields, vocabulary: &Vocabulary) -> Result<Request, WireError> {
+    let id = fields.request_id("ticket")?;
+    let class = ClassId(index_of(&vocabulary.classes, "qos", fields.text("qos")?)?);
+    let hint = fields.optional_number("size_hint_ms")?;
+    let tenant = match fields.optional() {
         None | Some("0") => None,
-        Some(_) if words.tenants.is_empty() => None,
-        Some(v) => Some(TenantId(place(&words.tenants, "billing", v)?)),
+        Some(_) if vocabulary.tenants.is_empty() => None,
+        Some(name) => Some(TenantId(index_of(&vocabulary.tenants, "billing", name)?)),
     };
-    let slots = f.opt_num("cores_needed")?.unwrap_or(1.0);
-    let flags: u32 = f.opt().map_or(Ok(0), |v| v.parse().map_err(|_| unread("flags", v)))?;
-    let deadline = Time::from_ms(f.num("not_after_ms")?);
-    let memory = f.opt_num("ram_units")?.unwrap_or(0.0);
-    let key = f.opt().filter(|k| !k.is_empty()).map(Name::from);
+    let slots = fields.optional_number("cores_needed")?.unwrap_or(1.0);
+    let flags: u32 =
+        fields.optional().map_or(Ok(0), |text| text.parse().map_err(|_| invalid("flags", text)))?;
+    let deadline = Time::from_ms(fields.number("not_after_ms")?);
+    let memory = fields.optional_number("ram_units")?.unwrap_or(0.0);
+    let key = fields.optional().filter(|key| !key.is_empty()).map(Name::from);
+    // The hint counts only if bit 0 of the flags is set.
     let work = hint.filter(|_| flags & 1 != 0).map(Span::from_ms);
     Ok(Request {
         id,
@@ -122,111 +131,121 @@
     })
 }
 
-/// Reads one line. `words` are those of the instance last named by `at`; without one, an event that
-/// belongs to an instance is an error.
-pub fn parse_line<'a>(line: &'a str, words: Option<&Vocabulary>) -> Result<Line<'a>, WireError> {
-    let mut f = Fields(line.split('\t'));
-    let message = f.0.next().unwrap_or_default();
-    let known = || words.ok_or_else(|| WireError::new("at", format!("{message} for an instance not born")));
+/// Parses a line. `vocabulary` is that of the selected instance; without it, an event is an error.
+pub fn parse_line<'a>(line: &'a str, vocabulary: Option<&Vocabulary>) -> Result<Line<'a>, WireError> {
+    let mut fields = Fields(line.split('\t'));
+    let message = fields.0.next().unwrap_or_default();
+    let selected_vocabulary = || {
+        vocabulary
+            .ok_or_else(|| WireError::new("at", format!("{message} for an instance that is not running")))
+    };
     let event = match message {
-        "batch" => return Ok(Line::Batch(Time::from_ms(f.num("clock_ms")?))),
+        "batch" => return Ok(Line::Batch(Time::from_ms(fields.number("clock_ms")?))),
         "flush" => return Ok(Line::Flush),
-        "at" => return Ok(Line::At(f.int("who")?)),
-        "born" => return Ok(Line::Born(f.int("rng_seed")?, f.0)),
-        "exit" => known().map(|_| Line::Exit)?,
-        "sheet" => return Ok(Line::Sheet(f.int("buffer")?, f.int("lines")?)),
+        "at" => return Ok(Line::SelectInstance(fields.integer("who")?)),
+        "born" => return Ok(Line::Start(fields.integer("rng_seed")?, fields.0)),
+        "exit" => selected_vocabulary().map(|_| Line::Killed)?,
+        "sheet" => return Ok(Line::List(fields.integer("buffer")?, fields.integer("lines")?)),
         "directory_update" => {
-            known()?;
-            let scope = match f.text("scope")? {
+            selected_vocabulary()?;
+            let scope = match fields.text("scope")? {
                 "diff" => ListScope::Changes,
                 "snapshot" => ListScope::Complete,
                 "disk" => ListScope::Remembered,
                 "error" => ListScope::Failed,
-                v => return Err(unread("scope", v)),
+                other => return Err(invalid("scope", other)),
             };
-            let _version = f.opt_num("epoch")?;
+            let _version = fields.optional_number("epoch")?;
             let buffer = match scope {
                 ListScope::Failed => 0,
-                _ => f.int("buffer")?,
+                _ => fields.integer("buffer")?,
             };
-            return Ok(Line::Directory(scope, buffer));
+            return Ok(Line::ListUpdate(scope, buffer));
         }
-        "job_in" => Line::Event(Event::Request(request(&mut f, known()?)?)),
+        "job_in" => Line::Event(Event::Request(parse_request(&mut fields, selected_vocabulary()?)?)),
         "ack_first" => {
-            known()?;
-            Line::Event(Event::StreamStarted { request: f.id("ticket")?, attempt: f.int("n")? })
+            selected_vocabulary()?;
+            Line::Event(Event::StreamStarted {
+                request: fields.request_id("ticket")?,
+                attempt: fields.integer("n")?,
+            })
         }
         "heartbeat" => {
-            known()?;
-            let (request, attempt) = (f.id("ticket")?, f.int("n")?);
-            f.text("worker")?;
-            let update = match f.int("what")? {
+            selected_vocabulary()?;
+            let (request, attempt) = (fields.request_id("ticket")?, fields.integer("n")?);
+            fields.text("worker")?;
+            let update = match fields.integer("what")? {
                 1 => AttemptUpdate::Started,
-                2 => AttemptUpdate::Progress(f.opt_num("level")?.unwrap_or(0.0)),
+                2 => AttemptUpdate::Progress(fields.optional_number("level")?.unwrap_or(0.0)),
                 _ => AttemptUpdate::Other,
             };
             Line::Event(Event::AttemptUpdate { request, attempt, update })
         }
         "report_back" => {
-            let words = known()?;
-            let (request, attempt) = (f.id("ticket")?, f.int("n")?);
-            f.text("worker")?;
-            let outcome = outcome(&mut f)?;
-            let latency = Span::from_ms(f.opt_num("time_taken_ms")?.unwrap_or(0.0));
-            let closed = match f.text("terminal")? {
+            let vocabulary = selected_vocabulary()?;
+            let (request, attempt) = (fields.request_id("ticket")?, fields.integer("n")?);
+            fields.text("worker")?;
+            let outcome = parse_outcome(&mut fields)?;
+            let latency = Span::from_ms(fields.optional_number("time_taken_ms")?.unwrap_or(0.0));
+            let closed = match fields.text("terminal")? {
                 "1" => true,
                 "0" => false,
-                v => return Err(unread("terminal", v)),
+                other => return Err(invalid("terminal", other)),
             };
-            f.opt();
-            let load = load(&mut f, words)?;
+            fields.optional();
+            let load = parse_load(&mut fields, vocabulary)?;
             Line::Event(Event::Outcome(AttemptEnd { request, attempt, outcome, latency, closed, load }))
         }
         "lapsed" => {
-            known()?;
-            Line::Event(Event::ClientGone(f.id("ticket")?))
+            selected_vocabulary()?;
+            Line::Event(Event::ClientGone(fields.request_id("ticket")?))
         }
         "ring" => {
-            known()?;
-            Line::Event(Event::Timer(f.int("nonce")?))
+            selected_vocabulary()?;
+            Line::Event(Event::Timer(fields.integer("nonce")?))
         }
         "check_result" => {
-            let words = known()?;
-            let worker = f.text("worker")?.into();
-            let outcome = outcome(&mut f)?;
-            let latency = Span::from_ms(f.opt_num("time_taken_ms")?.unwrap_or(0.0));
-            Line::Event(Event::Probed { worker, outcome, latency, load: load(&mut f, words)? })
+            let vocabulary = selected_vocabulary()?;
+            let worker = fields.text("worker")?.into();
+            let outcome = parse_outcome(&mut fields)?;
+            let latency = Span::from_ms(fields.optional_number("time_taken_ms")?.unwrap_or(0.0));
+            Line::Event(Event::Probed {
+                worker,
+                outcome,
+                latency,
+                load: parse_load(&mut fields, vocabulary)?,
+            })
         }
         "neighbour_says" => {
-            known()?;
-            let from = f.int("sender")?;
-            let text = f.opt().unwrap_or_default();
-            let content = BASE64_STANDARD.decode(text).map_err(|_| unread("content", text))?;
+            selected_vocabulary()?;
+            let from = fields.integer("sender")?;
+            let text = fields.optional().unwrap_or_default();
+            let content = BASE64_STANDARD.decode(text).map_err(|_| invalid("content", text))?;
             Line::Event(Event::Peer { from, content })
         }
-        other => return Err(WireError::new("message", format!("{other:?} is not known"))),
+        other => return Err(WireError::new("message", format!("{other:?} is not a known message"))),
     };
     Ok(event)
 }
 
-/// Reads one entry of a numbered list.
+/// Parses a line with an entry of a list of log workers.
 pub fn parse_listing(line: &str) -> Result<Listing, WireError> {
-    let mut f = Fields(line.split('\t'));
-    match f.0.next() {
+    let mut fields = Fields(line.split('\t'));
+    match fields.0.next() {
         Some("item") => {}
-        other => return Err(unread("item", other.unwrap_or_default())),
+        other => return Err(invalid("item", other.unwrap_or_default())),
     }
-    let kind = f.opt().unwrap_or_default().into();
-    let zone = f.opt().unwrap_or_default().into();
-    let started = f.opt_num("since_ms")?.filter(|ms| *ms != 0.0).map(Time::from_ms);
-    let weight = f.opt_num("capacity_hint")?.unwrap_or(1.0);
-    let worker = f.text("worker")?.into();
-    let readiness = match f.text("readiness")? {
+    let kind = fields.optional().unwrap_or_default().into();
+    let zone = fields.optional().unwrap_or_default().into();
+    let started = fields.optional_number("since_ms")?.filter(|ms| *ms != 0.0).map(Time::from_ms);
+    let weight = fields.optional_number("capacity_hint")?.unwrap_or(1.0);
+    let worker = fields.text("worker")?.into();
+    let readiness = match fields.text("readiness")? {
         "in_service" => Readiness::InService,
         "terminating" => Readiness::Draining,
         "terminated" => Readiness::Gone,
-        v => return Err(unread("readiness", v)),
+        other => return Err(invalid("readiness", other)),
     };
-    let cell = f.opt().map(|v| v.parse().map_err(|_| unread("block", v))).transpose()?;
+    let cell = fields.optional().map(|text| text.parse().map_err(|_| invalid("block", text))).transpose()?;
     Ok(Listing { worker, kind, zone, cell, started, weight, readiness })
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings pairs and the names and columns they fix for later lines.
+//! Parses the settings of an instance, including the names and the report columns that later lines refer to.
 
 use rustc_hash::FxHashMap;
 
@@ -8,117 +8,124 @@
     Tenant, WorthBy,
 };
 
-/// What later lines need of an instance's settings.
+/// The part of an instance's settings that is needed to parse later lines.
 #[derive(Clone, Debug, Default)]
 pub struct Vocabulary {
-    /// Class names, in order.
+    /// Names of the classes, indexed by [`rookspoke_decisions::ClassId`].
     pub classes: Vec<Name>,
-    /// Tenant names, in order.
+    /// Names of the tenants, indexed by [`rookspoke_decisions::TenantId`].
     pub tenants: Vec<Name>,
-    /// The columns of a load report.
-    pub report: Vec<ReportField>,
-    /// Their names, in the same order.
-    pub columns: Vec<Name>,
+    /// Meaning of each column of a load report.
+    pub report_fields: Vec<ReportField>,
+    /// Names of the columns, in the same order.
+    pub report_columns: Vec<Name>,
 }
 
 impl Vocabulary {
-    /// What the report field of this name means here.
-    pub fn column(&self, name: &str) -> ReportField {
-        let at = self.columns.iter().position(|c| c.as_ref() == name);
-        at.and_then(|at| self.report.get(at)).copied().unwrap_or(ReportField::Other)
+    /// The meaning of the report column with this name.
+    pub fn report_field(&self, name: &str) -> ReportField {
+        let index = self.report_columns.iter().position(|column| column.as_ref() == name);
+        index.and_then(|index| self.report_fields.get(index)).copied().unwrap_or(ReportField::Ignored)
     }
 }
 
-/// What a column of a load report means.
+/// Meaning of a column of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests held.
+    /// Requests that the log worker holds, running or queued.
     Inflight,
-    /// Requests waiting.
+    /// Requests in its queue.
     Queue,
-    /// Cores in use.
+    /// Fraction of its cores in use.
     Util,
-    /// Errors a second.
-    Errors,
-    /// Requests served a second.
-    Served,
-    /// Free slots.
+    /// Errors per second.
+    ErrorsPerS,
+    /// Requests served per second.
+    ServedPerS,
+    /// Slots that no job occupies.
     FreeSlots,
-    /// Free memory.
+    /// Memory units that no job occupies.
     FreeMemory,
-    /// Read and skipped.
-    Other,
+    /// Of no use to a dispatcher; the value is ignored.
+    Ignored,
 }
 
 impl ReportField {
-    /// Puts a value where it belongs in a report.
-    pub fn put(self, report: &mut LoadReport, value: f64) {
-        let place = match self {
+    /// Stores a value in the matching field of a report.
+    pub fn store(self, report: &mut LoadReport, value: f64) {
+        let field = match self {
             ReportField::Inflight => &mut report.inflight,
             ReportField::Queue => &mut report.queue,
             ReportField::Util => &mut report.util,
-            ReportField::Errors => &mut report.errors_per_s,
-            ReportField::Served => &mut report.served_per_s,
+            ReportField::ErrorsPerS => &mut report.errors_per_s,
+            ReportField::ServedPerS => &mut report.served_per_s,
             ReportField::FreeSlots => &mut report.free_slots,
             ReportField::FreeMemory => &mut report.free_memory,
-            ReportField::Other => return,
+            ReportField::Ignored => return,
         };
-        *place = Some(value);
+        *field = Some(value);
     }
 }
 
+/// The settings as `key=value` pairs.
 struct Pairs<'a>(FxHashMap<&'a str, &'a str>);
 
-fn bad(key: &str, value: &str) -> WireError {
+fn invalid(key: &str, value: &str) -> WireError {
     WireError::new(key, format!("{value:?}"))
 }
 
 impl<'a> Pairs<'a> {
-    fn opt(&self, key: &str) -> Option<&'a str> {
-        self.0.get(key).copied().filter(|v| *v != "-")
+    /// The value of a key. `-` stands for an absent value.
+    fn optional(&self, key: &str) -> Option<&'a str> {
+        self.0.get(key).copied().filter(|value| *value != "-")
     }
     fn text(&self, key: &str) -> Result<&'a str, WireError> {
-        self.opt(key).ok_or_else(|| WireError::new(key, "missing"))
+        self.optional(key).ok_or_else(|| WireError::new(key, "missing"))
     }
-    fn opt_num(&self, key: &str) -> Result<Option<f64>, WireError> {
-        self.opt(key)
-            .map(|v| v.parse().ok().filter(|n: &f64| n.is_finite()).ok_or_else(|| bad(key, v)))
+    fn optional_number(&self, key: &str) -> Result<Option<f64>, WireError> {
+        self.optional(key)
+            .map(|value| {
+                let number = value.parse().ok().filter(|number: &f64| number.is_finite());
+                number.ok_or_else(|| invalid(key, value))
+            })
             .transpose()
     }
-    fn num(&self, key: &str) -> Result<f64, WireError> {
-        self.opt_num(key)?.ok_or_else(|| WireError::new(key, "missing"))
+    fn number(&self, key: &str) -> Result<f64, WireError> {
+        self.optional_number(key)?.ok_or_else(|| WireError::new(key, "missing"))
     }
     fn span(&self, key: &str) -> Result<Span, WireError> {
-        Ok(Span::from_ms(self.num(key)?))
+        Ok(Span::from_ms(self.number(key)?))
     }
     fn count(&self, key: &str) -> Result<usize, WireError> {
-        let v = self.text(key)?;
-        v.parse().map_err(|_| bad(key, v))
+        let value = self.text(key)?;
+        value.parse().map_err(|_| invalid(key, value))
     }
-    fn opt_count(&self, key: &str) -> Result<usize, WireError> {
-        self.opt(key).map_or(Ok(0), |_| self.count(key))
+    fn optional_count(&self, key: &str) -> Result<usize, WireError> {
+        self.optional(key).map_or(Ok(0), |_| self.count(key))
     }
-    fn flag(&self, key: &str, absent: bool) -> Result<bool, WireError> {
-        match self.opt(key) {
-            None => Ok(absent),
+    fn flag(&self, key: &str, default: bool) -> Result<bool, WireError> {
+        match self.optional(key) {
+            None => Ok(default),
             Some("true" | "1") => Ok(true),
             Some("false" | "0") => Ok(false),
-            Some(v) => Err(bad(key, v)),
+            Some(value) => Err(invalid(key, value)),
         }
     }
     fn names(&self, key: &str) -> Vec<Name> {
-        self.opt(key).map_or(Vec::new(), |v| v.split(',').filter(|n| !n.is_empty()).map(Name::from).collect())
+        self.optional(key).map_or(Vec::new(), |list| {
+            list.split(',').filter(|name| !name.is_empty()).map(Name::from).collect()
+        })
     }
-    /// The `at`-th of a list of numbers with one place for each class.
-    fn per_class(&self, key: &str, at: usize) -> Result<Option<f64>, WireError> {
-        let Some(list) = self.opt(key) else { return Ok(None) };
-        let Some(v) = list.split(',').nth(at) else { return Ok(None) };
-        v.parse().map(Some).map_err(|_| bad(key, v))
+    /// The number of class `index` in a list with one number for each class.
+    fn per_class(&self, key: &str, index: usize) -> Result<Option<f64>, WireError> {
+        let Some(list) = self.optional(key) else { return Ok(None) };
+        let Some(value) = list.split(',').nth(index) else { return Ok(None) };
+        value.parse().map(Some).map_err(|_| invalid(key, value))
     }
 }
 
-fn class(pairs: &Pairs, at: usize) -> Result<Class, WireError> {
-    let key = |field: &str| format!("classes.{at}.{field}");
+fn parse_class(pairs: &Pairs, index: usize) -> Result<Class, WireError> {
+    let key = |field: &str| format!("classes.{index}.{field}");
     let effect = match pairs.text(&key("effect"))? {
         "read_like" => Effect::Safe,
         "non_idempotent" => Effect::Unsafe,
@@ -127,17 +134,17 @@
                 "all" => Group::All,
                 "zone" => Group::Zone,
                 "cell" => Group::Cell,
-                v => return Err(bad(&key("group"), v)),
+                other => return Err(invalid(&key("group"), other)),
             },
             window: pairs.span(&key("dedup_window_ms"))?,
         },
-        v => return Err(bad(&key("effect"), v)),
+        other => return Err(invalid(&key("effect"), other)),
     };
-    let stretch = match pairs.opt_num(&key("aim_stretch"))? {
-        Some(own) => own,
-        None => pairs.per_class("specifics.class_stretch", at)?.unwrap_or(0.0),
+    let stretch = match pairs.optional_number(&key("aim_stretch"))? {
+        Some(class_stretch) => class_stretch,
+        None => pairs.per_class("specifics.class_stretch", index)?.unwrap_or(0.0),
     };
-    let kind = match pairs.per_class("specifics.class_kind", at)? {
+    let kind = match pairs.per_class("specifics.class_kind", index)? {
         Some(kind) if kind >= 0.0 => Some(KindId(kind as usize)),
         _ => None,
     };
@@ -145,68 +152,70 @@
         name: pairs.text(&key("name"))?.into(),
         aim: pairs.span(&key("goal_time_ms"))?,
         stretch,
-        late_worth: pairs.opt_num(&key("late_worth"))?.unwrap_or(0.0),
-        worth: pairs.opt_num(&key("gain"))?.unwrap_or(1.0),
+        late_worth: pairs.optional_number(&key("late_worth"))?.unwrap_or(0.0),
+        worth: pairs.optional_number(&key("gain"))?.unwrap_or(1.0),
         effect,
         kind,
     })
 }
 
-/// Reads the pairs of a `born` line; keys that are not known are skipped.
+/// Parses the `key=value` pairs of a `born` line. Unknown keys are ignored.
 pub fn parse_settings<'a>(parts: impl Iterator<Item = &'a str>) -> Result<(Settings, Vocabulary), WireError> {
     let mut map = FxHashMap::default();
     for part in parts {
-        let (key, value) = part.split_once('=').ok_or_else(|| bad("env", part))?;
+        let (key, value) = part.split_once('=').ok_or_else(|| invalid("env", part))?;
         map.insert(key, value);
     }
     let pairs = Pairs(map);
-    let classes =
-        (0..pairs.count("classes.count")?).map(|at| class(&pairs, at)).collect::<Result<Vec<_>, _>>()?;
-    let tenants = (0..pairs.opt_count("projects.count")?)
-        .map(|at| {
+    let classes = (0..pairs.count("classes.count")?)
+        .map(|index| parse_class(&pairs, index))
+        .collect::<Result<Vec<_>, _>>()?;
+    let tenants = (0..pairs.optional_count("projects.count")?)
+        .map(|index| {
             Ok(Tenant {
-                name: pairs.text(&format!("projects.{at}.name"))?.into(),
-                allowance_per_s: pairs.num(&format!("projects.{at}.allowance_per_s"))?,
+                name: pairs.text(&format!("projects.{index}.name"))?.into(),
+                allowance_per_s: pairs.number(&format!("projects.{index}.allowance_per_s"))?,
             })
         })
         .collect::<Result<Vec<_>, WireError>>()?;
     let discovery = match pairs.text("discovery")? {
         "automatic" => Discovery::Automatic,
         "subscribe" => Discovery::Subscribe,
-        v => return Err(bad("discovery", v)),
+        other => return Err(invalid("discovery", other)),
     };
-    let reporting = match pairs.opt("reporting.how") {
+    let reporting = match pairs.optional("reporting.how") {
         Some("answers") => Reporting::Answers,
         Some("probe") => Reporting::Probe,
         Some("none") | None => Reporting::None,
-        Some(v) => return Err(bad("reporting.how", v)),
+        Some(other) => return Err(invalid("reporting.how", other)),
     };
-    let worth_by = match pairs.opt("worth_by") {
+    let worth_by = match pairs.optional("worth_by") {
         Some("request") | None => WorthBy::Request,
         Some("work") => WorthBy::Work,
-        Some(v) => return Err(bad("worth_by", v)),
+        Some(other) => return Err(invalid("worth_by", other)),
     };
-    let extra = |key: &str| match pairs.opt(key) {
+    // The columns x0 and x1 have the meaning that the settings give them.
+    let extra_column = |key: &str| match pairs.optional(key) {
         Some("free_slots") => ReportField::FreeSlots,
         Some("free_memory") => ReportField::FreeMemory,
-        _ => ReportField::Other,
+        _ => ReportField::Ignored,
     };
-    let columns = pairs.names("reporting.fields");
-    let report = columns.iter().map(|field| match field.as_ref() {
+    let report_columns = pairs.names("reporting.fields");
+    let report_fields = report_columns.iter().map(|column| match column.as_ref() {
         "busy_reqs" => ReportField::Inflight,
         "pending" => ReportField::Queue,
         "cpu_share" => ReportField::Util,
-        "failed_ps" => ReportField::Errors,
-        "served_ps" => ReportField::Served,
-        "x0" => extra("specifics.report_x0"),
-        "x1" => extra("specifics.report_x1"),
-        _ => ReportField::Other,
+        "failed_ps" => ReportField::ErrorsPerS,
+        "served_ps" => ReportField::ServedPerS,
+        "x0" => extra_column("specifics.report_x0"),
+        "x1" => extra_column("specifics.report_x1"),
+        _ => ReportField::Ignored,
     });
     let vocabulary = Vocabulary {
-        classes: classes.iter().map(|c| c.name.clone()).collect(),
-        tenants: tenants.iter().map(|t| t.name.clone()).collect(),
-        report: report.collect(),
-        columns,
+        classes: classes.iter().map(|class| class.name.clone()).collect(),
+        tenants: tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+        report_fields: report_fields.collect(),
+        report_columns,
     };
     let settings = Settings {
         dispatcher_index: pairs.count("me")?,
@@ -216,21 +225,23 @@
         kinds: pairs.names("machine_types"),
         classes,
         tenants,
-        over_share_worth: pairs.opt_num("over_share_worth")?.unwrap_or(1.0),
+        over_share_worth: pairs.optional_number("over_share_worth")?.unwrap_or(1.0),
         worth_by,
         discovery,
         reporting,
         reports_start: pairs.flag("specifics.tells_start", false)?,
-        progress_interval: Span::from_ms(pairs.opt_num("specifics.progress_ms")?.unwrap_or(0.0)),
-        waste_price: pairs.opt_num("prices.waste")?.unwrap_or(0.0),
-        cross_zone_price: pairs.opt_num("prices.cross_zone")?.unwrap_or(0.0),
+        progress_interval: Span::from_ms(pairs.optional_number("specifics.progress_ms")?.unwrap_or(0.0)),
+        waste_price: pairs.optional_number("prices.waste")?.unwrap_or(0.0),
+        cross_zone_price: pairs.optional_number("prices.cross_zone")?.unwrap_or(0.0),
         quantum: pairs.span("quantum_ms")?,
         limits: Limits {
             cancel: pairs.flag("limits.cancel", false)?,
             probes: pairs.flag("limits.probes", false)?,
             second_copies: pairs.flag("limits.second_copies", false)?,
             retry_after: pairs.flag("limits.retry_after", false)?,
-            max_retry_after: Span::from_ms(pairs.opt_num("limits.max_retry_after_ms")?.unwrap_or(0.0)),
+            max_retry_after: Span::from_ms(
+                pairs.optional_number("limits.max_retry_after_ms")?.unwrap_or(0.0),
+            ),
             max_attempts: pairs.count("limits.send_cap")?,
         },
         rules: Rules {
@@ -240,14 +251,14 @@
                 Discovery::Automatic => Span(0),
             },
             drain_grace: pairs.span("rules.stop_sending_within_ms")?,
-            initial_capacity: pairs.num("rules.cold_from")?,
+            initial_capacity: pairs.number("rules.cold_from")?,
             ramp: pairs.span("rules.ramp_time_ms")?,
-            overload_multiple: pairs.num("rules.fall_multiple")?,
+            overload_multiple: pairs.number("rules.fall_multiple")?,
             overload_window: pairs.span("rules.overload_for_ms")?,
         },
     };
-    settings
-        .validate()
-        .map_err(|e| WireError::new(e.setting, format!("{} (expected {})", e.found, e.expected)))?;
+    settings.validate().map_err(|error| {
+        WireError::new(error.setting, format!("{} (expected {})", error.found, error.expected))
+    })?;
     Ok((settings, vocabulary))
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter on transcripts of its own: replies, odd but legal batches, and what is malformed.
+//! Tests `rookspoke-simhost` with short transcripts: replies, unusual but valid batches, and malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -15,19 +16,20 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("rookspoke-simhost starts");
     let mut stdin = child.stdin.take().expect("standard input");
-    // The adapter may stop reading at a malformed line.
+    // The process may stop reading at a malformed line.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    let done = child.wait_with_output().expect("the adapter ends");
+    let output = child.wait_with_output().expect("rookspoke-simhost exits");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
-    (text(done.stdout), text(done.stderr), done.status.code())
+    (text(output.stdout), text(output.stderr), output.status.code())
 }
 
-fn start(who: u32) -> String {
+/// The first batch of an instance, which starts it with a list of one log worker.
+fn start(id: u32) -> String {
     format!(
-        "batch\t1000\nat\t{who}\nborn\t5\t{ENV}\nsheet\t0\t1\nitem\tbox\thall\t-\t1\tw_a\tin_service\t0\n\
+        "batch\t1000\nat\t{id}\nborn\t5\t{ENV}\nsheet\t0\t1\nitem\tbox\thall\t-\t1\tw_a\tin_service\t0\n\
          directory_update\tdisk\t1\t0\nflush\n"
     )
 }
@@ -36,8 +38,8 @@
 
 #[test]
 fn a_job_is_sent_and_served() {
-    let back = "report_back\ta2c82f7c5d3a91c4\t0\tw_a\tserved\t50\t1\t-\t3,0\n";
-    let input = format!("{}batch\t1004\nat\t3\n{JOB}flush\nbatch\t1060\nat\t3\n{back}flush\n", start(3));
+    let report = "report_back\ta2c82f7c5d3a91c4\t0\tw_a\tserved\t50\t1\t-\t3,0\n";
+    let input = format!("{}batch\t1004\nat\t3\n{JOB}flush\nbatch\t1060\nat\t3\n{report}flush\n", start(3));
     let (out, err, code) = run(&input);
     assert_eq!((err.as_str(), code), ("", Some(0)));
     assert!(out.contains("on_behalf\t3\ncall_out\ta2c82f7c5d3a91c4\tw_a\t4996\n"), "{out}");
@@ -51,7 +53,7 @@
 }
 
 #[test]
-fn list_numbers_are_reused_within_a_batch_and_born_may_follow_exit() {
+fn buffer_numbers_are_reused_within_a_batch_and_a_killed_instance_can_start_again() {
     let input = format!(
         "{}batch\t1004\nat\t3\nexit\nborn\t6\t{ENV}\nsheet\t0\t1\nitem\tbox\thall\t-\t1\tw_b\tin_service\t0\n\
          directory_update\tdisk\t2\t0\nat\t4\nborn\t7\t{ENV}\nsheet\t0\t1\n\
@@ -66,16 +68,19 @@
 }
 
 #[test]
-fn malformed_input_names_line_field_and_value() {
-    let begun = format!("{}batch\t1004\nat\t3\n", start(3));
+fn the_error_for_malformed_input_names_line_field_and_value() {
+    let batch_start = format!("{}batch\t1004\nat\t3\n", start(3));
     let cases = [
         ("batch\tsoon\n".to_string(), "line 1: clock_ms: \"soon\""),
-        (format!("{begun}job_in\tXYZ\tjob\n"), "line 10: ticket: \"XYZ\""),
-        (format!("{begun}job_in\ta2c82f7c5d3a91c4\tnone\n"), "line 10: qos: \"none\""),
-        (format!("{begun}shout\n"), "line 10: message: \"shout\""),
-        (format!("{begun}ring\n"), "line 10: nonce: missing"),
-        (format!("{begun}directory_update\tdiff\t2\t9\n"), "line 10: buffer: list 9 was never sent"),
-        (format!("{}batch\t1004\nat\t8\nring\t1\n", start(3)), "line 10: at: ring for an instance not born"),
+        (format!("{batch_start}job_in\tXYZ\tjob\n"), "line 10: ticket: \"XYZ\""),
+        (format!("{batch_start}job_in\ta2c82f7c5d3a91c4\tnone\n"), "line 10: qos: \"none\""),
+        (format!("{batch_start}shout\n"), "line 10: message: \"shout\" is not a known message"),
+        (format!("{batch_start}ring\n"), "line 10: nonce: missing"),
+        (format!("{batch_start}directory_update\tdiff\t2\t9\n"), "line 10: buffer: list 9 was never sent"),
+        (
+            format!("{}batch\t1004\nat\t8\nring\t1\n", start(3)),
+            "line 10: at: ring for an instance that is not running",
+        ),
         ("batch\t1\nat\t1\nborn\t5\tme=0\n".to_string(), "line 3: classes.count: missing"),
     ];
     for (input, expected) in cases {
@@ -87,13 +92,13 @@
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
-    let life = |who: u32| format!("{}batch\t1004\nat\t{who}\n{JOB}flush\n", start(who));
-    let (first, second) = (run(&life(1)).0, run(&life(2)).0);
+fn instances_act_the_same_in_one_process_as_in_separate_ones() {
+    let transcript = |id: u32| format!("{}batch\t1004\nat\t{id}\n{JOB}flush\n", start(id));
+    let (first, second) = (run(&transcript(1)).0, run(&transcript(2)).0);
     let both = format!("{}{}batch\t1004\nat\t1\n{JOB}at\t2\n{JOB}flush\n", start(1), start(2));
     let together = run(&both).0;
     for alone in [first, second] {
-        let sent = alone.lines().find(|l| l.starts_with("call_out")).expect("sent");
+        let sent = alone.lines().find(|line| line.starts_with("call_out")).expect("sent");
         assert!(together.contains(sent));
     }
 }
