--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -183,15 +183,15 @@
         let clock = self.0.event_log.clock();
         let mut requests = tokio::task::JoinSet::new();
         for arrival in arrivals {
-            let due = begin + (arrival.asked - Time(0));
+            let due = begin + (arrival.intended_at - Time(0));
             self.0.lateness.record(clock.sleep_until(due).await);
             let (load, mut arrival) = (self.clone(), *arrival);
             let number = {
                 let mut counts = lock(&self.0.counts);
-                counts.jobs.push(Asked { class: arrival.class, at: arrival.asked, in_time: false });
+                counts.jobs.push(Asked { class: arrival.class, at: arrival.intended_at, in_time: false });
                 counts.jobs.len() - 1
             };
-            arrival.asked = due;
+            arrival.intended_at = due;
             requests.spawn(async move { load.run_job(number, arrival).await });
             while requests.try_join_next().is_some() {}
         }
@@ -212,7 +212,7 @@
                 let mut counts = lock(&self.0.counts);
                 match outcome {
                     RequestOutcome::Served => {
-                        let latency = now - arrival.asked;
+                        let latency = now - arrival.intended_at;
                         let aim = class.get("aim") / 1000.0 + class.get("stretch") * arrival.work;
                         counts.jobs[number].in_time = latency.secs() <= aim;
                         counts.late[arrival.class] += usize::from(latency.secs() > aim);
