--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -15,7 +15,7 @@
 use rookspoke_emulator::report::Score;
 use rookspoke_emulator::scenario::{Incident, Stage, Trouble};
 use rookspoke_emulator::script;
-use rookspoke_rig::play::{Options, Rig};
+use rookspoke_rig::run::{Options, Rig};
 
 use crate::stage::{code, program, runtime, told};
 
@@ -70,14 +70,14 @@
     let options = Options {
         program: program(what.program.as_deref())?,
         seed: what.seed,
-        patience: Duration::from_secs(15),
+        start_timeout: Duration::from_secs(15),
         faults: None,
     };
     runtime()?.block_on(async {
         let rig = Rig::start(scenario, options).await.map_err(|error| error.to_string())?;
         let played = {
             let rig = rig.clone();
-            tokio::spawn(async move { rig.play().await })
+            tokio::spawn(async move { rig.run().await })
         };
         let shown = watch(&rig, played).await?;
         if !shown {
@@ -159,16 +159,16 @@
         };
         let (rig, number) = (rig.clone(), *next);
         *next += 1;
-        tokio::spawn(async move { rig.incident(number, &incident).await });
+        tokio::spawn(async move { rig.run_incident(number, &incident).await });
     }
     true
 }
 
 fn figures(rig: &Rig) -> [(&'static str, String); 7] {
-    let counted = rig.load.counts();
+    let counted = rig.load_generator.counts();
     let score = Score::of(&rig.scenario, &counted.jobs);
     [
-        ("dispatchers", rig.in_front().to_string()),
+        ("dispatchers", rig.dispatchers_in_rotation().to_string()),
         ("log workers", rig.worker_pool.available_workers().to_string()),
         ("jobs", counted.jobs.len().to_string()),
         ("served", counted.served.to_string()),
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -17,8 +17,8 @@
 use rookspoke_rig::event_log::EventLog;
 use rookspoke_rig::invariants::OneAnswer;
 use rookspoke_rig::load::{Backend, LoadGenerator, SOCKET_SLACK};
-use rookspoke_rig::play::{Options, Outcome, Rig, Verdict};
-use rookspoke_rig::soak::{Drawn, Sizes};
+use rookspoke_rig::run::{Options, Outcome, Rig, Verdict};
+use rookspoke_rig::soak::{RandomScenario, SizeLimits};
 
 /// A rule was broken.
 pub const BROKEN: u8 = 1;
@@ -68,7 +68,7 @@
 
     /// The play of the seed, which is printed.
     fn drawn(&self) -> Result<(Scenario, Option<FaultInjection>), String> {
-        let drawn = Drawn::new(self.seed, Sizes::FULL);
+        let drawn = RandomScenario::new(self.seed, SizeLimits::FULL);
         crate::say(&drawn.to_string());
         let scenario = script::read_text("drawn", &drawn.script(), Stage::Processes);
         let scenario = scenario.map_err(|problems| problems.render())?;
@@ -77,7 +77,7 @@
         let library = library.canonicalize().map_err(|error| {
             format!("{}: {error}; expected the library of the crate rookspoke-faults", library.display())
         })?;
-        Ok((scenario, drawn.schedule().map(|schedule| FaultInjection { library, schedule })))
+        Ok((scenario, drawn.fault_schedule().map(|schedule| FaultInjection { library, schedule })))
     }
 }
 
@@ -114,14 +114,14 @@
     let options = Options {
         program: program(what.program.as_deref())?,
         seed: what.seed,
-        patience: Duration::from_secs(60),
+        start_timeout: Duration::from_secs(60),
         faults,
     };
     runtime()?.block_on(async {
         let rig = Rig::start(scenario, options).await.map_err(|error| error.to_string())?;
         let shown = tokio::spawn(show(rig.clone()));
         let played = tokio::select! {
-            played = rig.play() => played.map_err(|error| error.to_string()),
+            played = rig.run() => played.map_err(|error| error.to_string()),
             // What was started ends with the rig.
             _ = tokio::signal::ctrl_c() => Err("interrupted".into()),
         };
@@ -179,7 +179,7 @@
     let scenario = as_rehearsal.scenario()?;
     // No dispatcher is started here, so no program is needed.
     let options =
-        Options { program: PathBuf::new(), seed: what.seed, patience: Duration::ZERO, faults: None };
+        Options { program: PathBuf::new(), seed: what.seed, start_timeout: Duration::ZERO, faults: None };
     runtime()?.block_on(async {
         let rig = Rig::without_dispatchers(scenario, options).await.map_err(|error| error.to_string())?;
         std::fs::create_dir_all(&what.configs)
@@ -234,7 +234,7 @@
         event_log.finish();
         let counted = load.counts();
         let score = Score::of(&scenario, &counted.jobs);
-        let (late, quantile) = (lateness.figures(), |q| counted.latency.value_at_quantile(q) as f64 / 1000.0);
+        let (late, quantile) = (lateness.summary(), |q| counted.latency.value_at_quantile(q) as f64 / 1000.0);
         crate::say(&format!(
             "service {:.3}; {} asked, {} served ({} late), {} refused, {} failed; p50 {:.0} ms, p99 {:.0} ms; \
              sent late by {:.1} ms (p99)\n",
@@ -267,7 +267,7 @@
     let mut text = format!(
         "verdict {:?}; ready in {:.1} s; {} KiB a dispatcher; {:.1} s of processor for all; the rig ran late by {:.1} ms \
          (p99), {:.1} ms at most\n",
-        outcome.verdict, outcome.ready_s, outcome.memory_kb, outcome.cpu_s, late.p99_ms, late.most_ms
+        outcome.verdict, outcome.ready_s, outcome.memory_kb, outcome.cpu_s, late.p99_ms, late.max_ms
     );
     for violation in outcome.violations.iter().take(10) {
         text.push_str(&format!(
@@ -294,12 +294,12 @@
     }
     loop {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let counted = rig.load.counts();
+        let counted = rig.load_generator.counts();
         let late: usize = counted.late.iter().sum();
         let _ = write!(
             std::io::stderr(),
             "\r{:3} dispatchers, {:3} log workers; {} asked, {} served ({late} late), {} refused, {} failed   ",
-            rig.in_front(),
+            rig.dispatchers_in_rotation(),
             rig.worker_pool.available_workers(),
             counted.jobs.len(),
             counted.served,
--- a/crates/rig/src/places.rs
+++ b/crates/rig/src/capacity.rs
@@ -9,13 +9,13 @@
 
 /// What is missing for a rig of this size.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum RoomError {
+pub enum CapacityError {
     /// Too few descriptors.
     #[error(
         "found a limit of {found} open files, expected {needed} at least for {dispatchers} dispatchers, {workers} log \
          workers and {links} links (ulimit -n)"
     )]
-    Descriptors {
+    FileDescriptors {
         /// The limit.
         found: u64,
         /// What is needed.
@@ -41,7 +41,7 @@
 
 /// What has an address of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum AddressKind {
     /// A dispatcher.
     Dispatcher,
     /// A log worker.
@@ -54,40 +54,40 @@
 
 const IN_ONE: usize = 250;
 /// The most of each kind.
-pub const MOST: usize = 60 * IN_ONE;
-/// Descriptors for the rig itself.
+pub const MAX_PER_KIND: usize = 60 * IN_ONE;
+/// FileDescriptors for the rig itself.
 const OWN: usize = 128;
-/// Descriptors for each dispatcher: its log, its watch, connections of clients.
+/// FileDescriptors for each dispatcher: its log, its watch, connections of clients.
 const EACH_DISPATCHER: usize = 14;
 /// Connections of a dispatcher to log workers, at the most that was seen of one that kept them for 15 s.
 const EACH_CONNECTIONS: usize = 40;
-/// Descriptors for each link: its listener, and some connections at both ends.
+/// FileDescriptors for each link: its listener, and some connections at both ends.
 const EACH_LINK: usize = 9;
 
 /// The loopback addresses of one rig.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct LoopbackAddresses {
     block: u8,
 }
 
-impl Places {
+impl LoopbackAddresses {
     /// Addresses apart from those of most other rigs.
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = std::process::id().wrapping_mul(31) + NEXT.fetch_add(1, Ordering::Relaxed);
         // 127.0 is for everybody else.
-        Places { block: 1 + (number % 250) as u8 }
+        LoopbackAddresses { block: 1 + (number % 250) as u8 }
     }
 
     /// The address of the `number`-th of a kind; the system chooses the port.
-    pub fn of(self, kind: Kind, number: usize) -> SocketAddr {
+    pub fn of(self, kind: AddressKind, number: usize) -> SocketAddr {
         let third = kind as usize * 60 + number / IN_ONE % 60;
         let address = Ipv4Addr::new(127, self.block, third as u8, 1 + (number % IN_ONE) as u8);
         SocketAddr::new(IpAddr::V4(address), 0)
     }
 }
 
-impl Default for Places {
+impl Default for LoopbackAddresses {
     fn default() -> Self {
         Self::new()
     }
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// Says what is needed.
-pub fn check(s: &Scenario, links: usize) -> Result<(), RoomError> {
+pub fn check_capacity(s: &Scenario, links: usize) -> Result<(), CapacityError> {
     let limit = getrlimit(Resource::Nofile);
     let most = limit.maximum.unwrap_or(u64::MAX);
     let raised = Rlimit { current: limit.maximum, maximum: limit.maximum };
@@ -109,17 +109,19 @@
 }
 
 /// Whether a limit of `found` descriptors is enough, and addresses are.
-fn enough(s: &Scenario, links: usize, found: u64) -> Result<(), RoomError> {
+fn enough(s: &Scenario, links: usize, found: u64) -> Result<(), CapacityError> {
     let (dispatchers, workers) = (s.count("dispatchers"), s.count("workers"));
     for (count, what) in [(dispatchers, "dispatchers"), (workers, "log workers"), (links, "links")] {
-        if count > MOST {
-            return Err(RoomError::Addresses { found: count, what, most: MOST });
+        if count > MAX_PER_KIND {
+            return Err(CapacityError::Addresses { found: count, what, most: MAX_PER_KIND });
         }
     }
     let connections = EACH_CONNECTIONS.min(2 * workers);
     let needed = OWN + workers + dispatchers * (EACH_DISPATCHER + connections) + links * EACH_LINK;
     match found < needed as u64 {
-        true => Err(RoomError::Descriptors { found, needed: needed as u64, dispatchers, workers, links }),
+        true => {
+            Err(CapacityError::FileDescriptors { found, needed: needed as u64, dispatchers, workers, links })
+        }
         false => Ok(()),
     }
 }
@@ -146,10 +148,11 @@
 
     #[test]
     fn everybody_has_an_address() {
-        let places = Places::new();
+        let places = LoopbackAddresses::new();
         let mut all = std::collections::HashSet::new();
-        for kind in [Kind::Dispatcher, Kind::Worker, Kind::Discovery, Kind::Link] {
-            assert!((0..MOST).all(|number| all.insert(places.of(kind, number))));
+        for kind in [AddressKind::Dispatcher, AddressKind::Worker, AddressKind::Discovery, AddressKind::Link]
+        {
+            assert!((0..MAX_PER_KIND).all(|number| all.insert(places.of(kind, number))));
         }
     }
 }
--- a/crates/rig/src/clock.rs
+++ b/crates/rig/src/clock.rs
@@ -60,13 +60,14 @@
 
 /// Lateness in figures, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq)]
-pub struct LatenessFigures {
+pub struct LatenessSummary {
     /// The median.
     pub p50_ms: f64,
     /// The 99th percentile.
     pub p99_ms: f64,
     /// The latest.
-    pub most_ms: f64,
+    #[serde(rename = "most_ms")]
+    pub max_ms: f64,
 }
 
 impl Default for Lateness {
@@ -85,14 +86,14 @@
     }
 
     /// What came together.
-    pub fn figures(&self) -> LatenessFigures {
+    pub fn summary(&self) -> LatenessSummary {
         let histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let at = |q: f64| histogram.value_at_quantile(q) as f64 / 1000.0;
-        LatenessFigures { p50_ms: at(0.5), p99_ms: at(0.99), most_ms: histogram.max() as f64 / 1000.0 }
+        LatenessSummary { p50_ms: at(0.5), p99_ms: at(0.99), max_ms: histogram.max() as f64 / 1000.0 }
     }
 
     /// Looks every 10 ms whether timers run in time, until dropped.
-    pub async fn watch(self, clock: Clock) {
+    pub async fn monitor(self, clock: Clock) {
         let step = Span(10_000);
         let mut next = clock.now() + step;
         loop {
--- a/crates/rig/src/dispatcher.rs
+++ b/crates/rig/src/dispatcher.rs
@@ -16,9 +16,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncRead, BufReader};
 use tokio::sync::watch;
 
-use crate::ask::ask;
 use crate::event_log::{Event, EventLog, ProcessEvent};
-use crate::keeper::{Keeper, Kept};
+use crate::http_client::get;
+use crate::supervisor::{SupervisedProcess, Supervisor};
 
 /// Lines of its log that are kept for whoever asks.
 const LINES: usize = 400;
@@ -47,18 +47,18 @@
         error: io::Error,
     },
     /// It ended, or did not say that it listens, or that it is ready, in time.
-    #[error("{name} {what}; its log ends with:\n{log}")]
+    #[error("{name} {problem}; its log ends with:\n{log}")]
     NotReady {
         /// Its name.
         name: String,
         /// What it did.
-        what: String,
+        problem: String,
         /// The last lines of its log.
         log: String,
     },
     /// It was to start, and runs.
     #[error("{0} runs already")]
-    Runs(String),
+    AlreadyRunning(String),
 }
 
 /// What a process listens on, as it says itself.
@@ -71,7 +71,7 @@
 }
 
 struct Running {
-    process: Kept,
+    process: SupervisedProcess,
     doors: watch::Receiver<Doors>,
 }
 
@@ -83,7 +83,7 @@
     pub number: usize,
     folder: PathBuf,
     program: PathBuf,
-    keeper: Arc<Keeper>,
+    supervisor: Arc<Supervisor>,
     event_log: EventLog,
     config: Mutex<Value>,
     running: tokio::sync::Mutex<Option<Running>>,
@@ -93,7 +93,13 @@
 }
 
 /// The platform's JSON for a scenario's dispatcher of this number.
-pub fn config(s: &Scenario, number: usize, address: IpAddr, discovery: SocketAddr, seed: u64) -> Value {
+pub fn platform_config(
+    s: &Scenario,
+    number: usize,
+    address: IpAddr,
+    discovery: SocketAddr,
+    seed: u64,
+) -> Value {
     let set = settings(s, number);
     let classes: Vec<Value> = s
         .classes
@@ -141,21 +147,21 @@
     /// # Errors
     /// Its folder cannot be made.
     pub fn new(
-        keeper: &Arc<Keeper>,
+        supervisor: &Arc<Supervisor>,
         program: &Path,
         number: usize,
         config: Value,
         event_log: EventLog,
     ) -> io::Result<Self> {
         let name = format!("n{number}");
-        let folder = keeper.folder().join(&name);
+        let folder = supervisor.folder().join(&name);
         std::fs::create_dir_all(&folder)?;
         Ok(Dispatcher {
             name,
             number,
             folder,
             program: program.to_owned(),
-            keeper: keeper.clone(),
+            supervisor: supervisor.clone(),
             event_log,
             config: Mutex::new(config),
             running: tokio::sync::Mutex::default(),
@@ -188,10 +194,10 @@
     ///
     /// # Errors
     /// It does not come up.
-    pub async fn start(&self, patience: Duration) -> Result<(), StartError> {
+    pub async fn start(&self, timeout: Duration) -> Result<(), StartError> {
         let mut running = self.running.lock().await;
         if running.is_some() {
-            return Err(StartError::Runs(self.name.clone()));
+            return Err(StartError::AlreadyRunning(self.name.clone()));
         }
         let spawn = |error| StartError::Spawn { name: self.name.clone(), error };
         let path = self.folder.join("config.json");
@@ -204,8 +210,11 @@
             variables.push(("ROOKSPOKE_FAULTS_LOG", FAULTS_LOG.as_ref()));
         }
         let arguments = ["--set".as_ref(), "log.format=json".as_ref()];
-        let mut process =
-            self.keeper.spawn(&self.program, &arguments, &self.folder, &variables).await.map_err(spawn)?;
+        let mut process = self
+            .supervisor
+            .spawn(&self.program, &arguments, &self.folder, &variables)
+            .await
+            .map_err(spawn)?;
         self.lives(ProcessEvent::Started);
         let (sender, doors) = watch::channel(Doors::default());
         if let Some(stderr) = process.child.stderr.take() {
@@ -220,7 +229,7 @@
         let mut known = doors.clone();
         *running = Some(Running { process, doors });
         let open = |doors: &Doors| doors.clients.is_some() && doors.console.is_some() || doors.ended;
-        let found = tokio::time::timeout(patience, known.wait_for(open)).await;
+        let found = tokio::time::timeout(timeout, known.wait_for(open)).await;
         let what = match found {
             Ok(Ok(doors)) if !doors.ended => {
                 self.listens_at(*doors);
@@ -242,26 +251,26 @@
     }
 
     fn not_ready(&self, what: &str) -> StartError {
-        let log = self.log().into_iter().rev().take(8).rev().collect::<Vec<_>>().join("\n");
-        StartError::NotReady { name: self.name.clone(), what: what.into(), log }
+        let log = self.recent_log().into_iter().rev().take(8).rev().collect::<Vec<_>>().join("\n");
+        StartError::NotReady { name: self.name.clone(), problem: what.into(), log }
     }
 
     /// Waits until it says that it is ready for clients.
     ///
     /// # Errors
     /// It does not become ready in time.
-    pub async fn ready(&self, patience: Duration) -> Result<(), StartError> {
+    pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), StartError> {
         let asks = async {
             loop {
-                if let Some(address) = self.clients() {
-                    if ask(address, "/health/ready").await.is_ok_and(|(status, _)| status == 200) {
+                if let Some(address) = self.client_address() {
+                    if get(address, "/health/ready").await.is_ok_and(|(status, _)| status == 200) {
                         return;
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        match tokio::time::timeout(patience, asks).await {
+        match tokio::time::timeout(timeout, asks).await {
             Ok(()) => {
                 self.lives(ProcessEvent::Ready);
                 Ok(())
@@ -275,17 +284,17 @@
     }
 
     /// Where clients reach it, once it has been up.
-    pub fn clients(&self) -> Option<SocketAddr> {
+    pub fn client_address(&self) -> Option<SocketAddr> {
         self.known_doors().clients
     }
 
     /// Where operators reach it, once it has been up.
-    pub fn console(&self) -> Option<SocketAddr> {
+    pub fn console_address(&self) -> Option<SocketAddr> {
         self.known_doors().console
     }
 
     /// The last lines of its log.
-    pub fn log(&self) -> Vec<String> {
+    pub fn recent_log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
@@ -299,22 +308,22 @@
         if let Some(mut running) = self.running.lock().await.take() {
             self.lives(ProcessEvent::Killed);
             let _ = running.process.signal(Signal::KILL);
-            let _ = running.process.ended().await;
+            let _ = running.process.wait().await;
         }
     }
 
-    /// Tells it to end, and waits; what has not ended after `patience` is killed. True where it ended by itself.
-    pub async fn end(&self, patience: Duration) -> bool {
+    /// Tells it to end, and waits; what has not ended after `timeout` is killed. True where it ended by itself.
+    pub async fn terminate(&self, timeout: Duration) -> bool {
         let Some(mut running) = self.running.lock().await.take() else { return false };
         self.lives(ProcessEvent::Terminated);
         let _ = running.process.signal(Signal::TERM);
-        let ended = tokio::time::timeout(patience, running.process.ended()).await.is_ok();
+        let ended = tokio::time::timeout(timeout, running.process.wait()).await.is_ok();
         self.lives(if ended { ProcessEvent::Exited } else { ProcessEvent::Killed });
         ended
     }
 
     /// Stops it where it stands.
-    pub async fn stop(&self) {
+    pub async fn suspend(&self) {
         if let Some(running) = &*self.running.lock().await {
             let _ = running.process.signal(Signal::STOP);
             self.lives(ProcessEvent::Stopped);
@@ -330,11 +339,11 @@
     }
 
     /// Lets it run for this part of the time only, in turns of `turn`, until `length` has passed.
-    pub async fn slow(&self, part: f64, turn: Duration, length: Duration) {
+    pub async fn throttle(&self, part: f64, turn: Duration, length: Duration) {
         let end = tokio::time::Instant::now() + length;
         let runs = turn.mul_f64(part.clamp(0.0, 1.0));
         while tokio::time::Instant::now() < end {
-            self.stop().await;
+            self.suspend().await;
             tokio::time::sleep(turn - runs).await;
             self.resume().await;
             tokio::time::sleep(runs).await;
@@ -361,8 +370,8 @@
     }
 
     /// What it says of itself: each figure by its name.
-    pub async fn figures(&self) -> Option<Vec<(String, u64)>> {
-        let (status, text) = ask(self.console()?, "/control/counters").await.ok()?;
+    pub async fn counters(&self) -> Option<Vec<(String, u64)>> {
+        let (status, text) = get(self.console_address()?, "/control/counters").await.ok()?;
         let figure = |line: &str| {
             let (name, value) = line.strip_prefix("proxy.")?.split_once(':')?;
             Some((name.to_owned(), value.split('|').next()?.parse().ok()?))
--- a/crates/rig/src/ask.rs
+++ b/crates/rig/src/http_client.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// Whoever has not answered by then does not.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 /// The most that is read of an answer, in bytes.
 const MOST: usize = 1024 * 1024;
 
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// Nobody answers, or not in time.
-pub async fn ask(to: SocketAddr, path: &str) -> io::Result<(u16, String)> {
+pub async fn get(to: SocketAddr, path: &str) -> io::Result<(u16, String)> {
     let asks = async {
         let stream = TcpStream::connect(to).await?;
         let (mut sender, connection) =
@@ -33,5 +33,5 @@
         connection.abort();
         Ok((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
     };
-    tokio::time::timeout(PATIENCE, asks).await.map_err(io::Error::other)?
+    tokio::time::timeout(TIMEOUT, asks).await.map_err(io::Error::other)?
 }
--- a/crates/rig/src/job.rs
+++ b/crates/rig/src/job.rs
@@ -20,7 +20,7 @@
     }
 
     /// Reads the form on the wire.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok().map(JobId)).flatten()
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -5,19 +5,19 @@
 //! It is for tests and for the laboratory's tool, and no part of the daemon. What a log worker does is the emulator's
 //! own model, and what clients ask for is the emulator's own draw, so a scenario and a seed mean the same in both.
 
-pub mod ask;
+pub mod capacity;
 pub mod clock;
 pub mod discovery;
 pub mod dispatcher;
 pub mod event_log;
+pub mod http_client;
 pub mod invariants;
 pub mod job;
-pub mod keeper;
 pub mod link;
 pub mod load;
-pub mod places;
-pub mod play;
 mod response;
+pub mod routes;
+pub mod run;
 pub mod soak;
-pub mod ways;
+pub mod supervisor;
 pub mod worker_pool;
--- a/crates/rig/src/ways.rs
+++ b/crates/rig/src/routes.rs
@@ -9,7 +9,7 @@
 /// A way between two parties. Dispatchers that every disturbance treats alike are one group, and share their links
 /// to a log worker: three hundred dispatchers in two zones need two links to each, not three hundred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum Route {
     /// From clients to a dispatcher.
     Clients(usize),
     /// From a dispatcher to discovery.
@@ -20,13 +20,13 @@
 
 /// The ways of a play that are disturbed at some time.
 #[derive(Clone, Debug)]
-pub struct Ways {
+pub struct Routes {
     /// The group of each dispatcher.
     pub groups: Vec<usize>,
     /// For each way, which disturbances concern it, by their place in `all`.
-    pub disturbed: BTreeMap<Way, Vec<usize>>,
+    pub disturbances_by_route: BTreeMap<Route, Vec<usize>>,
     /// All disturbances: those of the script, then the cuts of zones.
-    pub all: Vec<Disturbance>,
+    pub disturbances: Vec<Disturbance>,
 }
 
 /// What discovery has to tell counts as told after this, in any case.
@@ -34,9 +34,9 @@
 /// Draws of disturbances are apart from those of incidents.
 const DRAWS: usize = 1 << 20;
 
-impl Ways {
+impl Routes {
     /// The ways that a scenario disturbs.
-    pub fn of(s: &Scenario, seed: u64) -> Self {
+    pub fn new(s: &Scenario, seed: u64) -> Self {
         let (dispatchers, workers, zones) = (s.count("dispatchers"), s.count("workers"), s.count("zones"));
         let mut all = s.disturbances.clone();
         for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::ZoneCut) {
@@ -82,23 +82,23 @@
                 })
             })
             .collect();
-        let mut disturbed: BTreeMap<Way, Vec<usize>> = BTreeMap::new();
+        let mut disturbed: BTreeMap<Route, Vec<usize>> = BTreeMap::new();
         for (number, one) in all.iter().enumerate() {
-            let ways: Vec<Way> = match one.to {
-                Party::Discovery => from[number].iter().map(|d| Way::Discovery(*d)).collect(),
+            let ways: Vec<Route> = match one.to {
+                Party::Discovery => from[number].iter().map(|d| Route::Discovery(*d)).collect(),
                 Party::Dispatchers(_) | Party::Dispatcher(_) => {
-                    to[number].iter().map(|d| Way::Clients(*d)).collect()
+                    to[number].iter().map(|d| Route::Clients(*d)).collect()
                 }
                 Party::Workers(_) | Party::Worker(_) => (0..known.len())
                     .filter(|group| known[*group].contains(&number))
-                    .flat_map(|group| to[number].iter().map(move |worker| Way::Worker(group, *worker)))
+                    .flat_map(|group| to[number].iter().map(move |worker| Route::Worker(group, *worker)))
                     .collect(),
                 // No way leads there, and no script is read that says so.
                 Party::Clients => Vec::new(),
             };
             ways.into_iter().for_each(|way| disturbed.entry(way).or_default().push(number));
         }
-        Ways { groups, disturbed, all }
+        Routes { groups, disturbances_by_route: disturbed, disturbances: all }
     }
 
     /// How many groups of dispatchers there are.
@@ -107,9 +107,10 @@
     }
 
     /// What disturbs a way while these disturbances are on, there and back.
-    pub fn faults(&self, way: Way, on: &[usize]) -> (Faults, Faults) {
-        let concerns = self.disturbed.get(&way).map_or(&[][..], Vec::as_slice);
-        let now = concerns.iter().filter(|number| on.contains(number)).map(|number| &self.all[*number]);
+    pub fn faults(&self, way: Route, on: &[usize]) -> (Faults, Faults) {
+        let concerns = self.disturbances_by_route.get(&way).map_or(&[][..], Vec::as_slice);
+        let now =
+            concerns.iter().filter(|number| on.contains(number)).map(|number| &self.disturbances[*number]);
         now.fold((Faults::default(), Faults::default()), |(there, back), one| {
             (both(there, one.there), both(back, one.back))
         })
@@ -117,22 +118,24 @@
 
     /// The longest that links hold up news of a drain on its way to a dispatcher, and what the dispatcher sends on its
     /// way to the log worker. Whatever discovery has to tell counts as told 6 s afterwards, whether it arrived or not.
-    pub fn most_delay(&self) -> Span {
-        let to_workers = self.all.iter().filter(|one| matches!(one.to, Party::Workers(_) | Party::Worker(_)));
+    pub fn max_drain_delay(&self) -> Span {
+        let to_workers =
+            self.disturbances.iter().filter(|one| matches!(one.to, Party::Workers(_) | Party::Worker(_)));
         let sends = to_workers.fold(Span(0), |sum, one| sum + one.there.delay + one.there.jitter);
-        let news = self.all.iter().filter(|one| one.to == Party::Discovery).fold(Span(0), |sum, one| {
-            let Faults { delay, jitter, cut, refuse, .. } = one.back;
-            let lost = cut || refuse || one.there.cut || one.there.refuse;
-            sum + if lost { TOLD_WITHIN } else { delay + jitter }
-        });
+        let news =
+            self.disturbances.iter().filter(|one| one.to == Party::Discovery).fold(Span(0), |sum, one| {
+                let Faults { delay, jitter, cut, refuse, .. } = one.back;
+                let lost = cut || refuse || one.there.cut || one.there.refuse;
+                sum + if lost { TOLD_WITHIN } else { delay + jitter }
+            });
         sends + news.min(TOLD_WITHIN)
     }
 
     /// The longest that links hold up a request, or the end of its connection, between a client and a log worker. What is
     /// on a link that is cut or slow comes at the latest when that is over.
-    pub fn most_transit(&self) -> Span {
+    pub fn max_transit(&self) -> Span {
         let carries_requests = |one: &&Disturbance| one.to != Party::Discovery;
-        self.all.iter().filter(carries_requests).fold(Span(0), |sum, one| {
+        self.disturbances.iter().filter(carries_requests).fold(Span(0), |sum, one| {
             let Faults { delay, jitter, cut, rate, .. } = one.there;
             let held = if cut || rate > 0.0 { one.length } else { Span(0) };
             sum + delay + jitter + held
@@ -176,9 +179,9 @@
     use rookspoke_emulator::scenario::Stage;
     use rookspoke_emulator::script::read_text;
 
-    fn ways(text: &str) -> Ways {
+    fn ways(text: &str) -> Routes {
         let s = read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
-        Ways::of(&s, 1)
+        Routes::new(&s, 1)
     }
 
     #[test]
@@ -189,8 +192,9 @@
         let ways = ways(text);
         // Two zones, and one dispatcher of its own; the log worker that is far from it only is in the other zone too.
         assert_eq!(ways.group_count(), 3);
-        let to_workers = ways.disturbed.keys().filter(|way| matches!(way, Way::Worker(..))).count();
-        assert_eq!((to_workers, ways.disturbed.len()), (10 + 10 + 10, 31));
+        let to_workers =
+            ways.disturbances_by_route.keys().filter(|way| matches!(way, Route::Worker(..))).count();
+        assert_eq!((to_workers, ways.disturbances_by_route.len()), (10 + 10 + 10, 31));
     }
 
     #[test]
@@ -198,11 +202,11 @@
         let text = "incident link at 1s for 2s from dispatchers to w0 delay 20ms loss 0.5\n\
                     incident link at 2s for 2s from n1 to workers delay 5ms rate 100 back cut";
         let ways = ways(text);
-        let way = Way::Worker(ways.groups[1], 0);
+        let way = Route::Worker(ways.groups[1], 0);
         let (there, back) = ways.faults(way, &[0, 1]);
         assert_eq!((there.delay, there.rate, there.cut, back.cut), (Span(25_000), 100.0, false, true));
         assert_eq!(ways.faults(way, &[1]).0.loss, 0.0);
-        assert_eq!(ways.faults(Way::Worker(ways.groups[0], 0), &[0, 1]).0.delay, Span(20_000));
+        assert_eq!(ways.faults(Route::Worker(ways.groups[0], 0), &[0, 1]).0.delay, Span(20_000));
         assert_eq!(ways.faults(way, &[]), (Faults::default(), Faults::default()));
     }
 
@@ -210,7 +214,7 @@
     fn a_part_is_drawn_by_the_seed() {
         let text = "workers 40\nincident link at 1s for 2s from dispatchers to workers part 0.25 cut";
         let s = read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
-        let drawn = |seed| Ways::of(&s, seed).disturbed.into_keys().collect::<Vec<_>>();
+        let drawn = |seed| Routes::new(&s, seed).disturbances_by_route.into_keys().collect::<Vec<_>>();
         assert_eq!((drawn(1).len(), drawn(1) == drawn(1), drawn(1) == drawn(2)), (10, true, false));
     }
 }
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/run.rs
@@ -19,17 +19,17 @@
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::clock::{duration, Clock, Lateness, LatenessFigures};
+use crate::capacity::{check_capacity, AddressKind, CapacityError, LoopbackAddresses};
+use crate::clock::{duration, Clock, Lateness, LatenessSummary};
 use crate::discovery::{DiscoveryMode, DiscoveryServer};
-use crate::dispatcher::{config, Dispatcher, FaultInjection, StartError};
+use crate::dispatcher::{platform_config, Dispatcher, FaultInjection, StartError};
 use crate::event_log::{Event, EventLog, ProcessEvent, RequestOutcome};
 use crate::invariants::{all_invariants, Tolerances, Violation};
 use crate::job::JobId;
-use crate::keeper::Keeper;
 use crate::link::{LinkControl, TcpLink};
 use crate::load::{Backend, LoadGenerator, SOCKET_SLACK};
-use crate::places::{check, Kind, Places, RoomError};
-use crate::ways::{Way, Ways};
+use crate::routes::{Route, Routes};
+use crate::supervisor::Supervisor;
 use crate::worker_pool::WorkerPool;
 
 /// The front notices that a dispatcher has died after this.
@@ -49,7 +49,7 @@
 /// From the last process's readiness to the first job.
 const LEAD: Span = Span(300_000);
 /// The rig's own timers may be late by this much, and a play still counts.
-pub const LATE_P99_MS: f64 = 20.0;
+pub const MAX_LATENESS_P99_MS: f64 = 20.0;
 
 /// What a play needs beside its scenario.
 #[derive(Clone, Debug)]
@@ -59,23 +59,23 @@
     /// For every draw.
     pub seed: u64,
     /// How long a dispatcher may take to be ready.
-    pub patience: Duration,
+    pub start_timeout: Duration,
     /// System calls of the dispatchers that fail.
     pub faults: Option<FaultInjection>,
 }
 
 /// A play that could not be.
 #[derive(Debug, Error)]
-pub enum PlayError {
+pub enum RigError {
     /// There is not enough room for it.
     #[error("{0}")]
-    Room(#[from] RoomError),
+    Capacity(#[from] CapacityError),
     /// A dispatcher did not come up.
     #[error("{0}")]
     Start(#[from] StartError),
     /// A stand-in could not be started.
     #[error("the rig cannot start: {0}")]
-    System(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
 }
 
 /// What a play proves.
@@ -104,7 +104,7 @@
     /// Processor time of all dispatchers, in seconds.
     pub cpu_s: f64,
     /// How late the rig ran.
-    pub lateness: LatenessFigures,
+    pub lateness: LatenessSummary,
     /// What broke.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
@@ -121,20 +121,20 @@
     /// Discovery.
     pub discovery_server: DiscoveryServer,
     /// The clients.
-    pub load: LoadGenerator,
+    pub load_generator: LoadGenerator,
     /// What sees and judges.
     pub event_log: EventLog,
     /// How late the rig runs.
     pub lateness: Lateness,
     backends: Arc<Vec<Backend>>,
-    links: BTreeMap<Way, TcpLink>,
-    ways: Ways,
+    links: BTreeMap<Route, TcpLink>,
+    routes: Routes,
     /// Disturbances that are on.
     on: Mutex<Vec<usize>>,
     options: Options,
     ready_s: f64,
     beat: AbortHandle,
-    _keeper: Arc<Keeper>,
+    _supervisor: Arc<Supervisor>,
 }
 
 impl Drop for Rig {
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// There is no room, or something does not come up; what was started is cleared away.
-    pub async fn start(scenario: Scenario, options: Options) -> Result<Arc<Self>, PlayError> {
+    pub async fn start(scenario: Scenario, options: Options) -> Result<Arc<Self>, RigError> {
         let mut rig = Self::without_dispatchers(scenario, options).await?;
         let start = Instant::now();
         rig.start_all().await?;
@@ -160,61 +160,70 @@
     ///
     /// # Errors
     /// There is no room, or a stand-in does not come up.
-    pub async fn without_dispatchers(scenario: Scenario, options: Options) -> Result<Self, PlayError> {
+    pub async fn without_dispatchers(scenario: Scenario, options: Options) -> Result<Self, RigError> {
         let s = &scenario;
-        let ways = Ways::of(s, options.seed);
-        check(s, ways.disturbed.len())?;
-        let (places, keeper) = (Places::new(), Keeper::start()?);
+        let routes = Routes::new(s, options.seed);
+        check_capacity(s, routes.disturbances_by_route.len())?;
+        let (places, supervisor) = (LoopbackAddresses::new(), Supervisor::start()?);
         let allowed = Tolerances {
             answer_slack: s.span("rules.answer-slack") + SOCKET_SLACK,
-            drain_grace: s.span("rules.drain-grace") + SOCKET_SLACK + ways.most_delay(),
-            transit: SOCKET_SLACK + ways.most_transit(),
+            drain_grace: s.span("rules.drain-grace") + SOCKET_SLACK + routes.max_drain_delay(),
+            transit: SOCKET_SLACK + routes.max_transit(),
         };
         let lateness = Lateness::default();
         let event_log = EventLog::new(Clock::starting_in(Duration::ZERO), all_invariants(allowed));
-        let beat = tokio::spawn(lateness.clone().watch(event_log.clock())).abort_handle();
+        let beat = tokio::spawn(lateness.clone().monitor(event_log.clock())).abort_handle();
 
-        // Log workers, and the ways to them.
-        let mut links: BTreeMap<Way, TcpLink> = BTreeMap::new();
+        // Log workers, and the routes to them.
+        let mut links: BTreeMap<Route, TcpLink> = BTreeMap::new();
         let (mut listeners, mut direct) = (Vec::new(), Vec::new());
         for worker in 0..s.count("workers") {
-            let listener = TcpListener::bind(places.of(Kind::Worker, worker)).await?;
+            let listener = TcpListener::bind(places.of(AddressKind::Worker, worker)).await?;
             direct.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        let mut reached = vec![direct.clone(); ways.group_count()];
-        for (number, way) in ways.disturbed.keys().enumerate() {
-            if let Way::Worker(group, worker) = *way {
-                let at = places.of(Kind::Link, number);
+        let mut reached = vec![direct.clone(); routes.group_count()];
+        for (number, way) in routes.disturbances_by_route.keys().enumerate() {
+            if let Route::Worker(group, worker) = *way {
+                let at = places.of(AddressKind::Link, number);
                 let link = open_link(at, direct[worker], options.seed, number).await?;
                 reached[group][worker] = link.address;
                 links.insert(*way, link);
             }
         }
         let discovery_server =
-            DiscoveryServer::new(s, options.seed, event_log.clone(), reached, ways.groups.clone());
+            DiscoveryServer::new(s, options.seed, event_log.clone(), reached, routes.groups.clone());
         let (to_registry, to_watch) = (discovery_server.clone(), event_log.clone());
         let worker_pool =
             WorkerPool::start(s, options.seed, listeners, to_registry, to_watch, lateness.clone()).await?;
 
-        // Dispatchers, and the ways between them, discovery and clients.
+        // Dispatchers, and the routes between them, discovery and clients.
         let (mut dispatchers, mut backends) = (Vec::new(), Vec::new());
         for number in 0..s.count("dispatchers") {
-            let listener = TcpListener::bind(places.of(Kind::Discovery, number)).await?;
+            let listener = TcpListener::bind(places.of(AddressKind::Discovery, number)).await?;
             let mut discovery = listener.local_addr()?;
             discovery_server.serve(number, listener);
-            for way in [Way::Discovery(number), Way::Clients(number)] {
-                let Some(place) = ways.disturbed.keys().position(|other| *other == way) else { continue };
-                let link = open_link(places.of(Kind::Link, place), discovery, options.seed, place).await?;
-                if way == Way::Discovery(number) {
+            for way in [Route::Discovery(number), Route::Clients(number)] {
+                let Some(place) = routes.disturbances_by_route.keys().position(|other| *other == way) else {
+                    continue;
+                };
+                let link =
+                    open_link(places.of(AddressKind::Link, place), discovery, options.seed, place).await?;
+                if way == Route::Discovery(number) {
                     discovery = link.address;
                 }
                 links.insert(way, link);
             }
             let own_seed = stream(options.seed, Stream::Policy, number as u64).random();
-            let mut told = config(s, number, places.of(Kind::Dispatcher, number).ip(), discovery, own_seed);
+            let mut told = platform_config(
+                s,
+                number,
+                places.of(AddressKind::Dispatcher, number).ip(),
+                discovery,
+                own_seed,
+            );
             told["known"] = discovery_server.snapshot(number);
-            let dispatcher = Dispatcher::new(&keeper, &options.program, number, told, event_log.clone())?
+            let dispatcher = Dispatcher::new(&supervisor, &options.program, number, told, event_log.clone())?
                 .with_faults(options.faults.clone());
             dispatchers.push(Arc::new(dispatcher));
             backends.push(Backend::new());
@@ -226,17 +235,17 @@
             dispatchers,
             worker_pool,
             discovery_server,
-            load,
+            load_generator: load,
             event_log,
             lateness,
             backends,
             links,
-            ways,
+            routes,
             on: Mutex::default(),
             options,
             ready_s: 0.0,
             beat,
-            _keeper: keeper,
+            _supervisor: supervisor,
         })
     }
 
@@ -244,10 +253,10 @@
         for some in self.dispatchers.chunks(START_TOGETHER) {
             let mut starts = JoinSet::new();
             for dispatcher in some {
-                let (dispatcher, patience) = (dispatcher.clone(), self.options.patience);
+                let (dispatcher, patience) = (dispatcher.clone(), self.options.start_timeout);
                 starts.spawn(async move {
                     dispatcher.start(patience).await?;
-                    dispatcher.ready(patience).await
+                    dispatcher.wait_until_ready(patience).await
                 });
             }
             all_joined(starts).await?;
@@ -258,8 +267,8 @@
 
     /// The front takes a dispatcher in.
     fn takes_in(&self, dispatcher: &Dispatcher) {
-        let Some(address) = dispatcher.clients() else { return };
-        let link = self.links.get(&Way::Clients(dispatcher.number));
+        let Some(address) = dispatcher.client_address() else { return };
+        let link = self.links.get(&Route::Clients(dispatcher.number));
         if let Some(link) = link {
             link.set_target(address);
         }
@@ -270,18 +279,18 @@
     ///
     /// # Errors
     /// It does not come up.
-    pub async fn start_again(&self, number: usize) -> Result<(), StartError> {
+    pub async fn restart_dispatcher(&self, number: usize) -> Result<(), StartError> {
         let dispatcher = &self.dispatchers[number];
         dispatcher.config()["known"] = self.discovery_server.snapshot(number);
         self.discovery_server.forget_dispatcher(number);
-        dispatcher.start(self.options.patience).await?;
-        dispatcher.ready(self.options.patience).await?;
+        dispatcher.start(self.options.start_timeout).await?;
+        dispatcher.wait_until_ready(self.options.start_timeout).await?;
         self.takes_in(dispatcher);
         Ok(())
     }
 
     /// Kills a dispatcher. The front notices later.
-    pub async fn kill(self: &Arc<Self>, number: usize) {
+    pub async fn kill_dispatcher(self: &Arc<Self>, number: usize) {
         self.dispatchers[number].kill().await;
         self.backends[number].process_ended();
         let rig = self.clone();
@@ -294,12 +303,12 @@
     }
 
     /// Tells a dispatcher to end as the platform does, and waits for it.
-    pub async fn end(&self, number: usize) -> bool {
+    pub async fn terminate_dispatcher(&self, number: usize) -> bool {
         let classes = &self.scenario.classes;
         let longest = classes.iter().map(|class| class.get("deadline")).fold(0.0, f64::max);
         let patience = Duration::from_secs_f64(longest.min(LONGEST_COUNTED_MS) / 1000.0) + KILL_ALLOWANCE;
         let dispatcher = self.dispatchers[number].clone();
-        let ends = tokio::spawn(async move { dispatcher.end(patience).await });
+        let ends = tokio::spawn(async move { dispatcher.terminate(patience).await });
         tokio::time::sleep(STILL_COME).await;
         self.backends[number].in_rotation.store(false, Ordering::Relaxed);
         let ended = ends.await.unwrap_or(false);
@@ -308,13 +317,13 @@
     }
 
     /// The control of a way's link, if the way has one.
-    pub fn link(&self, way: Way) -> Option<&LinkControl> {
+    pub fn link(&self, way: Route) -> Option<&LinkControl> {
         self.links.get(&way).map(|link| &link.control)
     }
 
-    /// Ways of a dispatcher to log workers belong to its group.
-    pub fn way_to_worker(&self, dispatcher: usize, worker: usize) -> Way {
-        Way::Worker(self.ways.groups[dispatcher], worker)
+    /// Routes of a dispatcher to log workers belong to its group.
+    pub fn route_to_worker(&self, dispatcher: usize, worker: usize) -> Route {
+        Route::Worker(self.routes.groups[dispatcher], worker)
     }
 
     /// Turns a disturbance on or off.
@@ -325,8 +334,8 @@
             on.push(number);
         }
         for (way, link) in &self.links {
-            if self.ways.disturbed.get(way).is_some_and(|all| all.contains(&number)) {
-                let (there, back) = self.ways.faults(*way, &on);
+            if self.routes.disturbances_by_route.get(way).is_some_and(|all| all.contains(&number)) {
+                let (there, back) = self.routes.faults(*way, &on);
                 link.control.set(there, back);
             }
         }
@@ -356,7 +365,7 @@
     ///
     /// # Errors
     /// A dispatcher that was to start again did not.
-    pub async fn play(self: &Arc<Self>) -> Result<(), StartError> {
+    pub async fn run(self: &Arc<Self>) -> Result<(), StartError> {
         let begin = self.event_log.clock().now() + LEAD;
         self.event_log.set_start(begin);
         let mut parts: JoinSet<Result<(), StartError>> = JoinSet::new();
@@ -364,10 +373,10 @@
             let rig = self.clone();
             parts.spawn(async move {
                 rig.lateness.record(rig.event_log.clock().sleep_until(begin + incident.at).await);
-                rig.incident(number, &incident).await
+                rig.run_incident(number, &incident).await
             });
         }
-        for (number, one) in self.ways.all.clone().into_iter().enumerate() {
+        for (number, one) in self.routes.disturbances.clone().into_iter().enumerate() {
             let rig = self.clone();
             parts.spawn(async move {
                 rig.lateness.record(rig.event_log.clock().sleep_until(begin + one.at).await);
@@ -377,7 +386,7 @@
                 Ok(())
             });
         }
-        self.load.run(begin, &self.arrivals()).await;
+        self.load_generator.run(begin, &self.arrivals()).await;
         all_joined(parts).await
     }
 
@@ -385,7 +394,11 @@
     ///
     /// # Errors
     /// A dispatcher that was to start again did not.
-    pub async fn incident(self: &Arc<Self>, number: usize, incident: &Incident) -> Result<(), StartError> {
+    pub async fn run_incident(
+        self: &Arc<Self>,
+        number: usize,
+        incident: &Incident,
+    ) -> Result<(), StartError> {
         let Incident { trouble, size, length, part, .. } = *incident;
         let of_dispatchers =
             matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
@@ -464,7 +477,7 @@
             }
             Trouble::HostPause => {
                 for number in &all {
-                    self.dispatchers[*number].stop().await;
+                    self.dispatchers[*number].suspend().await;
                 }
                 lasts.await;
                 for number in &all {
@@ -476,13 +489,13 @@
                 let mut slow = JoinSet::new();
                 for number in all {
                     let dispatcher = self.dispatchers[number].clone();
-                    slow.spawn(async move { dispatcher.slow(size, TURN, length).await });
+                    slow.spawn(async move { dispatcher.throttle(size, TURN, length).await });
                 }
                 while slow.join_next().await.is_some() {}
             }
             Trouble::Kill => {
                 for number in &all {
-                    self.kill(*number).await;
+                    self.kill_dispatcher(*number).await;
                 }
                 lasts.await;
                 self.again(all).await?;
@@ -495,8 +508,8 @@
                     let rig = self.clone();
                     turns.spawn(async move {
                         rig.event_log.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
-                        rig.end(number).await;
-                        rig.start_again(number).await
+                        rig.terminate_dispatcher(number).await;
+                        rig.restart_dispatcher(number).await
                     });
                 }
                 all_joined(turns).await?;
@@ -511,7 +524,7 @@
         let mut starts = JoinSet::new();
         for number in all {
             let rig = self.clone();
-            starts.spawn(async move { rig.start_again(number).await });
+            starts.spawn(async move { rig.restart_dispatcher(number).await });
         }
         all_joined(starts).await
     }
@@ -534,7 +547,7 @@
                 (memory, count, cpu_s) = (memory + kb, count + 1, cpu_s + seconds);
             }
             if let (Some(counted), Some(figures)) =
-                (self.backends[number].served(), dispatcher.figures().await)
+                (self.backends[number].served(), dispatcher.counters().await)
             {
                 let passed = figures.iter().filter(|(name, _)| name.starts_with("passed."));
                 let says = passed.map(|(_, value)| value).sum();
@@ -547,14 +560,14 @@
             }
         }
         self.event_log.finish();
-        let lateness = self.lateness.figures();
+        let lateness = self.lateness.summary();
         let violations = self.event_log.violations();
         let slack_ms = SOCKET_SLACK.ms();
         let verdict = match violations.is_empty() {
-            _ if lateness.p99_ms > LATE_P99_MS => Verdict::Void,
+            _ if lateness.p99_ms > MAX_LATENESS_P99_MS => Verdict::Void,
             true => Verdict::Kept,
             // What the rig did not do in time may be what broke.
-            false if lateness.most_ms > slack_ms => Verdict::Void,
+            false if lateness.max_ms > slack_ms => Verdict::Void,
             false => Verdict::Broken,
         };
         Outcome {
@@ -570,7 +583,7 @@
 
     /// The figures that the emulator gives of a run, from what was seen here.
     fn report(&self, violations: &[Violation]) -> Report {
-        let counted = self.load.counts();
+        let counted = self.load_generator.counts();
         let score = Score::of(&self.scenario, &counted.jobs);
         let classes = self.scenario.classes.iter().enumerate().map(|(class, one)| ClassReport {
             name: one.name.clone(),
@@ -618,12 +631,12 @@
     }
 
     /// Dispatchers that clients are dealt out to at present.
-    pub fn in_front(&self) -> usize {
+    pub fn dispatchers_in_rotation(&self) -> usize {
         self.backends.iter().filter(|seat| seat.in_rotation.load(Ordering::Relaxed)).count()
     }
 
     /// Clients reach a dispatcher there from now on.
-    pub fn lead_clients(&self, number: usize, to: SocketAddr) {
+    pub fn redirect_clients(&self, number: usize, to: SocketAddr) {
         self.backends[number].add_to_rotation(to);
     }
 }
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -28,23 +28,23 @@
 
 /// The largest sizes that are drawn.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
+pub struct SizeLimits {
     /// Dispatchers, each a process.
     pub dispatchers: usize,
     /// Log workers.
     pub workers: usize,
 }
 
-impl Sizes {
+impl SizeLimits {
     /// For a few seeds in a minute beside other tests.
-    pub const SMALL: Sizes = Sizes { dispatchers: 4, workers: 10 };
+    pub const SMALL: SizeLimits = SizeLimits { dispatchers: 4, workers: 10 };
     /// For runs that have the machine to themselves.
-    pub const FULL: Sizes = Sizes { dispatchers: 30, workers: 40 };
+    pub const FULL: SizeLimits = SizeLimits { dispatchers: 30, workers: 40 };
 }
 
 /// A play that was drawn, or what is left of one that was cut down.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Drawn {
+pub struct RandomScenario {
     /// For every draw within the play.
     pub seed: u64,
     /// Sizes, habits and classes, one line each.
@@ -55,11 +55,11 @@
     pub faults: Vec<String>,
 }
 
-impl Drawn {
+impl RandomScenario {
     /// The play of a seed, no larger than this.
-    pub fn new(seed: u64, most: Sizes) -> Self {
+    pub fn new(seed: u64, most: SizeLimits) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        Drawn {
+        RandomScenario {
             seed,
             settings: settings(&mut rng, most),
             incidents: incidents(&mut rng),
@@ -73,40 +73,40 @@
     }
 
     /// Its schedule of failing system calls; none where no call fails.
-    pub fn schedule(&self) -> Option<String> {
+    pub fn fault_schedule(&self) -> Option<String> {
         (!self.faults.is_empty()).then(|| format!("{} {}", self.seed, self.faults.join(" ")))
     }
 
     /// Each play that has one incident or one failing call less.
-    pub fn smaller(&self) -> Vec<Drawn> {
+    pub fn reductions(&self) -> Vec<RandomScenario> {
         let without = |parts: &[String], left_out: usize| -> Vec<String> {
             parts.iter().enumerate().filter(|(at, _)| *at != left_out).map(|(_, part)| part.clone()).collect()
         };
         let fewer_incidents = (0..self.incidents.len())
-            .map(|at| Drawn { incidents: without(&self.incidents, at), ..self.clone() });
-        let fewer_faults =
-            (0..self.faults.len()).map(|at| Drawn { faults: without(&self.faults, at), ..self.clone() });
+            .map(|at| RandomScenario { incidents: without(&self.incidents, at), ..self.clone() });
+        let fewer_faults = (0..self.faults.len())
+            .map(|at| RandomScenario { faults: without(&self.faults, at), ..self.clone() });
         fewer_incidents.chain(fewer_faults).collect()
     }
 
     /// The smallest play that still fails, found by leaving out one part after another.
-    pub fn shrink(self, mut fails: impl FnMut(&Drawn) -> bool) -> Drawn {
+    pub fn shrink(self, mut fails: impl FnMut(&RandomScenario) -> bool) -> RandomScenario {
         let mut least = self;
-        while let Some(smaller) = least.smaller().into_iter().find(&mut fails) {
+        while let Some(smaller) = least.reductions().into_iter().find(&mut fails) {
             least = smaller;
         }
         least
     }
 }
 
-impl fmt::Display for Drawn {
+impl fmt::Display for RandomScenario {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "# seed {}, faults {:?}", self.seed, self.schedule().unwrap_or_default())?;
+        writeln!(f, "# seed {}, faults {:?}", self.seed, self.fault_schedule().unwrap_or_default())?;
         f.write_str(&self.script())
     }
 }
 
-fn settings(rng: &mut SmallRng, most: Sizes) -> Vec<String> {
+fn settings(rng: &mut SmallRng, most: SizeLimits) -> Vec<String> {
     let dispatchers = rng.random_range(2..=most.dispatchers);
     let workers = rng.random_range(1..=most.workers);
     let zones = rng.random_range(1..=2.min(workers));
--- a/crates/rig/src/keeper.rs
+++ b/crates/rig/src/supervisor.rs
@@ -30,14 +30,14 @@
 
 /// Looks after the processes and the folder of a rig.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct Supervisor {
     folder: PathBuf,
     guardian: Mutex<Child>,
     pipe: Mutex<Option<ChildStdin>>,
 }
 
-impl Keeper {
-    /// A keeper with a new folder.
+impl Supervisor {
+    /// A supervisor with a new folder.
     ///
     /// # Errors
     /// There is no place for the folder, or no shell.
@@ -48,10 +48,10 @@
         command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
         let mut guardian = command.spawn()?;
         let pipe = guardian.stdin.take();
-        Ok(Arc::new(Keeper { folder, guardian: Mutex::new(guardian), pipe: Mutex::new(pipe) }))
+        Ok(Arc::new(Supervisor { folder, guardian: Mutex::new(guardian), pipe: Mutex::new(pipe) }))
     }
 
-    /// The folder, which goes with the keeper.
+    /// The folder, which goes with the supervisor.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -72,7 +72,7 @@
         arguments: &[&OsStr],
         folder: &Path,
         variables: &[(&str, &OsStr)],
-    ) -> io::Result<Kept> {
+    ) -> io::Result<SupervisedProcess> {
         let mut command = tokio::process::Command::new("sh");
         command.arg("-c").arg(STUB).arg(program).args(arguments).current_dir(folder).process_group(0);
         command.envs(variables.iter().copied()).stdin(Stdio::piped());
@@ -81,12 +81,12 @@
         let raw = child.id().and_then(|id| i32::try_from(id).ok());
         let pid = raw.and_then(Pid::from_raw).ok_or_else(|| io::Error::other("it has ended already"))?;
         self.tell('+', pid.as_raw_nonzero().get())?;
-        let kept = Kept { child, pid, keeper: self.clone() };
-        kept.go().await
+        let process = SupervisedProcess { child, pid, supervisor: self.clone() };
+        process.go().await
     }
 }
 
-impl Drop for Keeper {
+impl Drop for Supervisor {
     fn drop(&mut self) {
         // The pipe ends, and so does the guardian once all is cleared away.
         self.pipe.lock().unwrap_or_else(PoisonError::into_inner).take();
@@ -94,16 +94,16 @@
     }
 }
 
-/// A process that its keeper knows.
+/// A process that its supervisor knows.
 #[derive(Debug)]
-pub struct Kept {
+pub struct SupervisedProcess {
     /// The process itself.
     pub child: tokio::process::Child,
     pid: Pid,
-    keeper: Arc<Keeper>,
+    supervisor: Arc<Supervisor>,
 }
 
-impl Kept {
+impl SupervisedProcess {
     async fn go(mut self) -> io::Result<Self> {
         if let Some(mut stdin) = self.child.stdin.take() {
             stdin.write_all(b"go\n").await?;
@@ -128,17 +128,17 @@
     ///
     /// # Errors
     /// The system cannot say.
-    pub async fn ended(&mut self) -> io::Result<std::process::ExitStatus> {
+    pub async fn wait(&mut self) -> io::Result<std::process::ExitStatus> {
         self.child.wait().await
     }
 }
 
-impl Drop for Kept {
+impl Drop for SupervisedProcess {
     fn drop(&mut self) {
         // Its number is its own until it is waited for, so nobody else is meant by it.
         if self.child.id().is_some() {
             let _ = kill_process(self.pid, Signal::KILL);
         }
-        let _ = self.keeper.tell('-', self.pid());
+        let _ = self.supervisor.tell('-', self.pid());
     }
 }
--- a/crates/rig/src/worker_pool.rs
+++ b/crates/rig/src/worker_pool.rs
@@ -678,7 +678,7 @@
     }
 
     async fn handle_request(&self, worker: usize, request: Request<Incoming>) -> Response<StreamBody> {
-        let id = request.headers().get("x-correlation-id").and_then(|id| JobId::read(id.to_str().ok()?));
+        let id = request.headers().get("x-correlation-id").and_then(|id| JobId::parse(id.to_str().ok()?));
         match (request.method(), request.uri().path(), id) {
             (&Method::GET, "/stats", _) => {
                 self.wait_while_paused(worker).await;
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -2,9 +2,9 @@
 
 use rookspoke_emulator::scenario::{Scenario, Stage};
 use rookspoke_emulator::script;
-use rookspoke_rig::soak::{Drawn, Sizes};
+use rookspoke_rig::soak::{RandomScenario, SizeLimits};
 
-fn scenario(drawn: &Drawn) -> Scenario {
+fn scenario(drawn: &RandomScenario) -> Scenario {
     script::read_text("drawn", &drawn.script(), Stage::Processes)
         .unwrap_or_else(|problems| panic!("{drawn}\n{}", problems.render()))
 }
@@ -13,14 +13,14 @@
 fn every_seed_draws_a_run_within_the_size_limits() {
     let (mut with_faults, mut largest) = (0, 0);
     for seed in 0..400 {
-        let drawn = Drawn::new(seed, Sizes::FULL);
-        assert_eq!(drawn, Drawn::new(seed, Sizes::FULL), "the same seed draws the same run");
+        let drawn = RandomScenario::new(seed, SizeLimits::FULL);
+        assert_eq!(drawn, RandomScenario::new(seed, SizeLimits::FULL), "the same seed draws the same run");
         let scenario = scenario(&drawn);
         assert!((2..=30).contains(&scenario.count("dispatchers")), "{drawn}");
         assert!((1..=40).contains(&scenario.count("workers")), "{drawn}");
         let troubles = scenario.incidents.len() + scenario.disturbances.len();
         assert!((2..=5).contains(&troubles) && troubles == drawn.incidents.len(), "{drawn}");
-        with_faults += usize::from(drawn.schedule().is_some());
+        with_faults += usize::from(drawn.fault_schedule().is_some());
         largest = largest.max(scenario.count("dispatchers"));
     }
     assert!(with_faults > 200 && largest > 25, "{with_faults} with faults, at most {largest} dispatchers");
@@ -28,10 +28,10 @@
 
 #[test]
 fn a_failing_run_is_reduced_to_the_parts_that_fail() {
-    let mut drawn = Drawn::new(4, Sizes::SMALL);
+    let mut drawn = RandomScenario::new(4, SizeLimits::SMALL);
     let failing_incident = drawn.incidents[1].clone();
     drawn.faults = vec!["receive=EINTR:5".into(), "wait=EINTR:5".into()];
-    let fails = |run: &Drawn| {
+    let fails = |run: &RandomScenario| {
         run.incidents.contains(&failing_incident) && run.faults.iter().any(|f| f.starts_with("wait"))
     };
     let reduced = drawn.clone().shrink(fails);
@@ -42,6 +42,6 @@
     assert_eq!((reduced.seed, &reduced.settings), (drawn.seed, &drawn.settings));
     // If it fails without any part, none is kept.
     let empty = drawn.shrink(|_| true);
-    assert!(empty.incidents.is_empty() && empty.schedule().is_none());
+    assert!(empty.incidents.is_empty() && empty.fault_schedule().is_none());
     scenario(&empty);
 }
--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -12,8 +12,8 @@
 use rookspoke_emulator::script;
 use rookspoke_rig::discovery::ListedState;
 use rookspoke_rig::event_log::{Event, ProcessEvent, RequestOutcome};
-use rookspoke_rig::play::{Options, Outcome, PlayError, Rig, Verdict};
-use rookspoke_rig::ways::Way;
+use rookspoke_rig::routes::Route;
+use rookspoke_rig::run::{Options, Outcome, Rig, RigError, Verdict};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -38,7 +38,7 @@
     Options {
         program: PathBuf::from(env!("CARGO_BIN_EXE_rookspoke")),
         seed: 7,
-        patience: Duration::from_secs(30),
+        start_timeout: Duration::from_secs(30),
         faults: None,
     }
 }
@@ -55,7 +55,7 @@
 /// Plays a script to its end, and does something beside it.
 async fn play_while<F: Future<Output = ()>>(text: &str, beside: fn(Arc<Rig>) -> F) -> (Arc<Rig>, Outcome) {
     let rig = rig(text).await;
-    let (played, ()) = tokio::join!(rig.play(), beside(rig.clone()));
+    let (played, ()) = tokio::join!(rig.run(), beside(rig.clone()));
     played.unwrap_or_else(|error| panic!("{error}"));
     let outcome = rig.outcome().await;
     (rig, outcome)
@@ -114,7 +114,7 @@
         for dispatcher in &rig.dispatchers {
             println!("pid {}", dispatcher.pid().await.expect("it runs"));
         }
-        rig.dispatchers[1].stop().await;
+        rig.dispatchers[1].suspend().await;
         println!("up");
         tokio::time::sleep(Duration::from_secs(120)).await;
     });
@@ -160,7 +160,7 @@
     multi(async {
         let broken = Options { program: Path::new("/bin/false").to_owned(), ..options() };
         let error = Rig::start(scenario(SMALL), broken).await.err().expect("an error");
-        assert!(matches!(error, PlayError::Start(_)), "{error}");
+        assert!(matches!(error, RigError::Start(_)), "{error}");
         assert!(error.to_string().contains("ended at its start"), "{error}");
     });
 }
@@ -200,9 +200,9 @@
 fn a_request_that_is_doubled_on_its_way_trips_the_judge() {
     multi(async {
         let rig = rig(SMALL).await;
-        let to = |number: usize| rig.dispatchers[number].clients().expect("it is up");
-        rig.lead_clients(0, double(to(0), to(1)).await);
-        rig.play().await.expect("it plays");
+        let to = |number: usize| rig.dispatchers[number].client_address().expect("it is up");
+        rig.redirect_clients(0, double(to(0), to(1)).await);
+        rig.run().await.expect("it plays");
         let outcome = rig.outcome().await;
         let rules = broken(&outcome);
         // The second one counts jobs that no client handed to it.
@@ -255,7 +255,7 @@
                     incident link at 2s for 4s from dispatchers to w1 back cut";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        let way = rig.way_to_worker(0, 1);
+        let way = rig.route_to_worker(0, 1);
         assert!(rig.link(way).is_some(), "{way:?} leads through a link");
     });
 }
@@ -281,7 +281,7 @@
                     incident crash at 8s for 2s part 0.34\nincident kill at 9s for 500ms part 0.34";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        assert_eq!(rig.in_front(), 3);
+        assert_eq!(rig.dispatchers_in_rotation(), 3);
     });
 }
 
@@ -315,7 +315,7 @@
         .await;
         for worker in 0..2 {
             let slow = Faults { cut: false, rate: 40.0, ..CUT };
-            rig.link(rig.way_to_worker(0, worker)).expect("a link").set(slow, Faults::default());
+            rig.link(rig.route_to_worker(0, worker)).expect("a link").set(slow, Faults::default());
         }
         let head = |id: u64, length: usize| {
             format!(
@@ -324,19 +324,19 @@
             )
         };
         let facts = r#"{"slots":1,"work":0.1,"key":1,"worth":1}"#;
-        let address = rig.dispatchers[0].clients().expect("it is up");
+        let address = rig.dispatchers[0].client_address().expect("it is up");
         let mut half = TcpStream::connect(address).await.expect("a connection");
         half.write_all(format!("{}{}", head(1, facts.len()), &facts[..9]).as_bytes()).await.expect("sent");
         let mut whole = TcpStream::connect(address).await.expect("a connection");
         whole.write_all(format!("{}{facts}", head(2, facts.len())).as_bytes()).await.expect("sent");
         // Long enough for some of it to have left the daemon, and far too short for all.
         tokio::time::sleep(Duration::from_millis(600)).await;
-        rig.kill(0).await;
+        rig.kill_dispatcher(0).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(rig.event_log.count(|seen| matches!(seen, Event::Reached { .. })), 0);
         assert_eq!(half.read(&mut [0; 16]).await.unwrap_or(0), 0, "its client hears of it");
-        rig.start_again(0).await.expect("it starts again");
-        assert_eq!(rig.dispatchers[0].clients(), Some(address), "under the same address");
+        rig.restart_dispatcher(0).await.expect("it starts again");
+        assert_eq!(rig.dispatchers[0].client_address(), Some(address), "under the same address");
     });
 }
 
@@ -352,7 +352,7 @@
             4
         );
         let end = outcome.report.windows.last().expect("a window").service;
-        assert!(rig.in_front() == 4 && end > 0.3, "{end}");
+        assert!(rig.dispatchers_in_rotation() == 4 && end > 0.3, "{end}");
     });
 }
 
@@ -379,7 +379,7 @@
             .event_log
             .count(|seen| matches!(seen, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. }));
         assert_eq!(lost, 0, "taken and not answered");
-        assert!(rig.in_front() == 6 && outcome.report.service > 0.6, "{:?}", outcome.report);
+        assert!(rig.dispatchers_in_rotation() == 6 && outcome.report.service > 0.6, "{:?}", outcome.report);
     });
 }
 
@@ -397,7 +397,7 @@
             rig.event_log.count(|seen| matches!(seen, Event::Dispatcher { event, .. } if *event == which))
         };
         assert_eq!(ends(ProcessEvent::Terminated), 4);
-        assert_eq!(rig.in_front(), 4);
+        assert_eq!(rig.dispatchers_in_rotation(), 4);
     });
 }
 
@@ -413,7 +413,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
-        rig.play().await.expect("it plays");
+        rig.run().await.expect("it plays");
         holds.abort();
         let outcome = rig.outcome().await;
         assert_eq!(outcome.verdict, Verdict::Void, "{:?}", outcome.lateness);
@@ -432,6 +432,6 @@
                     incident link at 3s for 6s from clients to n1 delay 30ms jitter 20ms";
         let (rig, outcome) = valid(text).await;
         kept(&outcome);
-        assert!(rig.link(Way::Clients(1)).is_some());
+        assert!(rig.link(Route::Clients(1)).is_some());
     });
 }
--- a/crates/rookspoke/tests/soak.rs
+++ b/crates/rookspoke/tests/soak.rs
@@ -14,8 +14,8 @@
 use rookspoke_emulator::scenario::Stage;
 use rookspoke_emulator::script;
 use rookspoke_rig::dispatcher::FaultInjection;
-use rookspoke_rig::play::{Options, Outcome, Rig, Verdict};
-use rookspoke_rig::soak::{Drawn, Sizes};
+use rookspoke_rig::run::{Options, Outcome, Rig, Verdict};
+use rookspoke_rig::soak::{RandomScenario, SizeLimits};
 
 /// The seeds that every run plays.
 const SEEDS: Range<u64> = 1..6;
@@ -34,19 +34,20 @@
     PathBuf::from(env!("CARGO_BIN_EXE_rookspoke"))
 }
 
-async fn play_once(drawn: &Drawn) -> Played {
+async fn play_once(drawn: &RandomScenario) -> Played {
     let scenario = script::read_text("drawn.lab", &drawn.script(), Stage::Processes)
         .unwrap_or_else(|problems| panic!("{drawn}\n{}", problems.render()));
-    let faults = drawn.schedule().map(|schedule| FaultInjection { library: faults_library(), schedule });
-    let options = Options { program: program(), seed: drawn.seed, patience: PATIENCE, faults };
+    let faults =
+        drawn.fault_schedule().map(|schedule| FaultInjection { library: faults_library(), schedule });
+    let options = Options { program: program(), seed: drawn.seed, start_timeout: PATIENCE, faults };
     let rig = Rig::start(scenario, options).await.unwrap_or_else(|error| panic!("{drawn}\n{error}"));
-    rig.play().await.unwrap_or_else(|error| panic!("{drawn}\n{error}"));
+    rig.run().await.unwrap_or_else(|error| panic!("{drawn}\n{error}"));
     let outcome = rig.outcome().await;
     Played { outcome, injected_faults: rig.injected_faults() }
 }
 
 /// Plays until a play proves something. A play whose faults were never met proves nothing either.
-fn play(drawn: &Drawn) -> Played {
+fn play(drawn: &RandomScenario) -> Played {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("a runtime");
     for _ in 0..VOID_PLAYS {
@@ -63,17 +64,17 @@
     panic!("seed {}: {VOID_PLAYS} plays were void", drawn.seed);
 }
 
-fn fails(drawn: &Drawn) -> bool {
+fn fails(drawn: &RandomScenario) -> bool {
     play(drawn).outcome.verdict == Verdict::Broken
 }
 
 #[test]
 fn fleets_drawn_from_seeds_keep_every_rule() {
     let by_hand = soak::seeds_by_hand();
-    let sizes = if by_hand.is_some() { Sizes::FULL } else { Sizes::SMALL };
+    let sizes = if by_hand.is_some() { SizeLimits::FULL } else { SizeLimits::SMALL };
     let mut broken = Vec::new();
     for seed in by_hand.clone().unwrap_or(SEEDS) {
-        let drawn = Drawn::new(seed, sizes);
+        let drawn = RandomScenario::new(seed, sizes);
         let Played { outcome, injected_faults } = play(&drawn);
         let report = &outcome.report;
         println!(
