--- a/crates/rig/src/supervisor.rs
+++ b/crates/rig/src/supervisor.rs
@@ -1,8 +1,9 @@
-//! Nothing that a rig starts outlives it, however it ends: not on a panic, not on Ctrl-C, not when it is killed.
+//! Supervision of child processes: none of them, and no temporary folder, outlives the rig, whether it exits, panics, is
+//! interrupted by Ctrl-C or is killed.
 //!
-//! A shell of its own process group, the guardian, reads from a pipe which processes live. The pipe closes with the
-//! rig, whatever happened to that; the guardian then kills what is left and removes the rig's folder. Each process
-//! waits, before it becomes the program, until the guardian has been told of it.
+//! A watchdog, a shell in a process group of its own, reads from a pipe which processes run. The pipe closes when the
+//! rig's process ends for any reason; the watchdog then kills the remaining processes and removes the rig's folder. Each
+//! process waits to execute its program until the watchdog has been notified of its id.
 
 use std::ffi::OsStr;
 use std::io::{self, Write};
@@ -14,7 +15,8 @@
 use rustix::process::{kill_process, Pid, Signal};
 use tokio::io::AsyncWriteExt;
 
-const GUARDIAN: &str = "trap '' INT TERM HUP
+/// The watchdog: reads `+ PID` and `- PID` lines, and cleans up at the end of its input. Its `$0` is the folder.
+const WATCHDOG_SCRIPT: &str = "trap '' INT TERM HUP
 alive=' '
 while read -r sign pid; do
     case $sign in
@@ -25,47 +27,48 @@
 for pid in $alive; do kill -KILL \"$pid\" 2>/dev/null; done
 rm -rf -- \"$0\"";
 
-/// Waits for a word, then becomes the program. Without the word it ends.
-const STUB: &str = "read -r go || exit 1; exec \"$0\" \"$@\" </dev/null";
+/// Waits for a line on standard input, then executes the program in its place. Exits if the input ends first.
+const START_GATE_SCRIPT: &str = "read -r go || exit 1; exec \"$0\" \"$@\" </dev/null";
 
-/// Looks after the processes and the folder of a rig.
+/// Owns the temporary folder of a rig and starts its processes. Both are cleaned up when it is dropped.
 #[derive(Debug)]
 pub struct Supervisor {
     folder: PathBuf,
-    guardian: Mutex<Child>,
+    watchdog: Mutex<Child>,
     pipe: Mutex<Option<ChildStdin>>,
 }
 
 impl Supervisor {
-    /// A supervisor with a new folder.
+    /// Creates a temporary folder and starts the watchdog.
     ///
     /// # Errors
-    /// There is no place for the folder, or no shell.
+    /// The folder cannot be created, or the shell cannot be started.
     pub fn start() -> io::Result<Arc<Self>> {
         let folder = tempfile::Builder::new().prefix("rookspoke-rig-").tempdir()?.keep();
         let mut command = Command::new("sh");
-        command.arg("-c").arg(GUARDIAN).arg(&folder).process_group(0);
+        command.arg("-c").arg(WATCHDOG_SCRIPT).arg(&folder).process_group(0);
         command.stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
-        let mut guardian = command.spawn()?;
-        let pipe = guardian.stdin.take();
-        Ok(Arc::new(Supervisor { folder, guardian: Mutex::new(guardian), pipe: Mutex::new(pipe) }))
+        let mut watchdog = command.spawn()?;
+        let pipe = watchdog.stdin.take();
+        Ok(Arc::new(Supervisor { folder, watchdog: Mutex::new(watchdog), pipe: Mutex::new(pipe) }))
     }
 
-    /// The folder, which goes with the supervisor.
+    /// The temporary folder, which is removed with the supervisor.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    fn tell(&self, sign: char, pid: i32) -> io::Result<()> {
+    fn notify_watchdog(&self, sign: char, pid: i32) -> io::Result<()> {
         let mut pipe = self.pipe.lock().unwrap_or_else(PoisonError::into_inner);
-        let pipe = pipe.as_mut().ok_or_else(|| io::Error::other("the guardian is gone"))?;
+        let pipe =
+            pipe.as_mut().ok_or_else(|| io::Error::other("the connection to the watchdog is closed"))?;
         writeln!(pipe, "{sign} {pid}")
     }
 
-    /// Starts a program in a folder, with these variables in its environment; its standard error is piped.
+    /// Starts a program in the given folder with additional environment variables. Its standard error is piped.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started, or the watchdog cannot be notified.
     pub async fn spawn(
         self: &Arc<Self>,
         program: &Path,
@@ -74,60 +77,68 @@
         variables: &[(&str, &OsStr)],
     ) -> io::Result<SupervisedProcess> {
         let mut command = tokio::process::Command::new("sh");
-        command.arg("-c").arg(STUB).arg(program).args(arguments).current_dir(folder).process_group(0);
+        command
+            .arg("-c")
+            .arg(START_GATE_SCRIPT)
+            .arg(program)
+            .args(arguments)
+            .current_dir(folder)
+            .process_group(0);
         command.envs(variables.iter().copied()).stdin(Stdio::piped());
         command.stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
         let child = command.spawn()?;
-        let raw = child.id().and_then(|id| i32::try_from(id).ok());
-        let pid = raw.and_then(Pid::from_raw).ok_or_else(|| io::Error::other("it has ended already"))?;
-        self.tell('+', pid.as_raw_nonzero().get())?;
+        let raw_pid = child.id().and_then(|id| i32::try_from(id).ok());
+        let pid = raw_pid
+            .and_then(Pid::from_raw)
+            .ok_or_else(|| io::Error::other("the process ended before its id was read"))?;
+        self.notify_watchdog('+', pid.as_raw_nonzero().get())?;
         let process = SupervisedProcess { child, pid, supervisor: self.clone() };
-        process.go().await
+        process.execute().await
     }
 }
 
 impl Drop for Supervisor {
     fn drop(&mut self) {
-        // The pipe ends, and so does the guardian once all is cleared away.
+        // Closing the pipe makes the watchdog clean up and exit.
         self.pipe.lock().unwrap_or_else(PoisonError::into_inner).take();
-        let _ = self.guardian.lock().unwrap_or_else(PoisonError::into_inner).wait();
+        let _ = self.watchdog.lock().unwrap_or_else(PoisonError::into_inner).wait();
     }
 }
 
-/// A process that its supervisor knows.
+/// A child process that is known to the watchdog. It is killed when dropped.
 #[derive(Debug)]
 pub struct SupervisedProcess {
-    /// The process itself.
+    /// Handle of the process, for its output.
     pub child: tokio::process::Child,
     pid: Pid,
     supervisor: Arc<Supervisor>,
 }
 
 impl SupervisedProcess {
-    async fn go(mut self) -> io::Result<Self> {
+    async fn execute(mut self) -> io::Result<Self> {
         if let Some(mut stdin) = self.child.stdin.take() {
             stdin.write_all(b"go\n").await?;
         }
         Ok(self)
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> i32 {
         self.pid.as_raw_nonzero().get()
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     ///
     /// # Errors
-    /// It is gone.
+    /// The process no longer exists.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(self.pid, signal)?)
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has exited.
     ///
     /// # Errors
-    /// The system cannot say.
+    /// The system call that waits for it fails.
     pub async fn wait(&mut self) -> io::Result<std::process::ExitStatus> {
         self.child.wait().await
     }
@@ -135,10 +146,10 @@
 
 impl Drop for SupervisedProcess {
     fn drop(&mut self) {
-        // Its number is its own until it is waited for, so nobody else is meant by it.
+        // An id is not reused before its process has been waited for, so the signal cannot hit another process.
         if self.child.id().is_some() {
             let _ = kill_process(self.pid, Signal::KILL);
         }
-        let _ = self.supervisor.tell('-', self.pid());
+        let _ = self.supervisor.notify_watchdog('-', self.pid());
     }
 }
