--- a/crates/rig/src/http_client.rs
+++ b/crates/rig/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Short questions to a process: one request on a connection of its own.
+//! A small HTTP client for health checks and the operators' console of a dispatcher.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Whoever has not answered by then does not.
+/// Timeout of a whole exchange, from connecting to the end of the response.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The most that is read of an answer, in bytes.
-const MOST: usize = 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const MAX_BODY: usize = 1024 * 1024;
 
-/// Asks for a path. Gives the status and the body.
+/// Sends a GET request on a connection of its own. Returns the status and the body.
 ///
 /// # Errors
-/// Nobody answers, or not in time.
+/// The exchange fails, exceeds the timeout, or the body is too large.
 pub async fn get(to: SocketAddr, path: &str) -> io::Result<(u16, String)> {
-    let asks = async {
+    let exchange = async {
         let stream = TcpStream::connect(to).await?;
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
@@ -29,9 +29,9 @@
         let request = request.body(Empty::<Bytes>::new()).map_err(io::Error::other)?;
         let response = sender.send_request(request).await.map_err(io::Error::other)?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), MOST).collect().await.map_err(io::Error::other)?;
+        let body = Limited::new(response.into_body(), MAX_BODY).collect().await.map_err(io::Error::other)?;
         connection.abort();
         Ok((status, String::from_utf8_lossy(&body.to_bytes()).into_owned()))
     };
-    tokio::time::timeout(TIMEOUT, asks).await.map_err(io::Error::other)?
+    tokio::time::timeout(TIMEOUT, exchange).await.map_err(io::Error::other)?
 }
--- a/crates/rig/src/job.rs
+++ b/crates/rig/src/job.rs
@@ -1,25 +1,26 @@
-//! A job's number on the wire: who was sent it, and which it is.
+//! Job numbers, which are unique within a run and name the dispatcher that the job was sent to.
 
 use std::fmt;
 
-/// A job's number: its dispatcher, and a count.
+/// A job's number: the dispatcher in the upper bits, a counter in the lower ones. On the wire it is written as 16
+/// hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct JobId(pub u64);
 
 const COUNT_BITS: u32 = 40;
 
 impl JobId {
-    /// The `count`-th job, sent to this dispatcher.
+    /// The number of the `count`-th job that is sent to this dispatcher.
     pub fn new(dispatcher: usize, count: u64) -> Self {
         JobId((dispatcher as u64) << COUNT_BITS | count & ((1 << COUNT_BITS) - 1))
     }
 
-    /// The dispatcher it was sent to.
+    /// The dispatcher that the job was sent to.
     pub fn dispatcher(self) -> usize {
         (self.0 >> COUNT_BITS) as usize
     }
 
-    /// Reads the form on the wire.
+    /// Parses the form on the wire.
     pub fn parse(text: &str) -> Option<Self> {
         (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok().map(JobId)).flatten()
     }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,9 +1,9 @@
-//! A rig that rehearses incidents with the real program: it starts dispatchers by the hundred as processes, gives
-//! them stand-ins for log workers, discovery and clients, leads what passes between them through links that can be
-//! broken, and judges what comes of it from outside.
+//! A test rig for fault injection with the real program: it starts up to hundreds of dispatchers as processes, connects
+//! them to stand-ins for log workers, discovery and clients through links that inject faults, records an event log, and
+//! checks invariants on what it observed from outside.
 //!
-//! It is for tests and for the laboratory's tool, and no part of the daemon. What a log worker does is the emulator's
-//! own model, and what clients ask for is the emulator's own draw, so a scenario and a seed mean the same in both.
+//! The crate serves tests and the lab's command-line tool; the daemon does not use it. The behaviour of log workers and
+//! the jobs of clients come from the emulator's model, so that a scenario and a seed mean the same in both.
 
 pub mod capacity;
 pub mod clock;
