--- a/crates/rig/src/capacity.rs
+++ b/crates/rig/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Addresses of a rig, and what the system must have room for before it starts.
+//! Loopback addresses of a rig, and the check that the system has enough descriptors and addresses for a scenario.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,82 +7,83 @@
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use thiserror::Error;
 
-/// What is missing for a rig of this size.
+/// A resource of the machine that does not suffice for a scenario.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CapacityError {
-    /// Too few descriptors.
+    /// The limit of open files is too low.
     #[error(
         "found a limit of {found} open files, expected {needed} at least for {dispatchers} dispatchers, {workers} log \
          workers and {links} links (ulimit -n)"
     )]
     FileDescriptors {
-        /// The limit.
+        /// The limit in effect.
         found: u64,
-        /// What is needed.
+        /// The number of descriptors that the run needs.
         needed: u64,
-        /// Of the play.
+        /// Number of dispatchers in the scenario.
         dispatchers: usize,
-        /// Of the play.
+        /// Number of log workers in the scenario.
         workers: usize,
-        /// Of the play.
+        /// Number of links in the scenario.
         links: usize,
     },
-    /// Too few addresses.
-    #[error("found {found} {what}, expected {most} at most: a rig has so many loopback addresses for them")]
+    /// The scenario has more parties of a kind than there are loopback addresses for them.
+    #[error("found {found} {what}, expected {most} at most, the number of loopback addresses for each kind")]
     Addresses {
-        /// How many there are.
+        /// The number in the scenario.
         found: usize,
-        /// Of what.
+        /// The kind, in the plural.
         what: &'static str,
-        /// The most.
+        /// The number of addresses of each kind.
         most: usize,
     },
 }
 
-/// What has an address of its own.
+/// A kind of party that has loopback addresses of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressKind {
-    /// A dispatcher.
+    /// The listeners of a dispatcher.
     Dispatcher,
-    /// A log worker.
+    /// The listener of a log worker.
     Worker,
-    /// Discovery, as one dispatcher reaches it.
+    /// The listener of discovery for one dispatcher.
     Discovery,
-    /// A link.
+    /// The listener of a link.
     Link,
 }
 
-const IN_ONE: usize = 250;
-/// The most of each kind.
-pub const MAX_PER_KIND: usize = 60 * IN_ONE;
-/// FileDescriptors for the rig itself.
-const OWN: usize = 128;
-/// FileDescriptors for each dispatcher: its log, its watch, connections of clients.
-const EACH_DISPATCHER: usize = 14;
-/// Connections of a dispatcher to log workers, at the most that was seen of one that kept them for 15 s.
-const EACH_CONNECTIONS: usize = 40;
-/// FileDescriptors for each link: its listener, and some connections at both ends.
-const EACH_LINK: usize = 9;
+/// Number of addresses that are used of a /24 block.
+const ADDRESSES_PER_BLOCK: usize = 250;
+/// Number of addresses of each kind.
+pub const MAX_PER_KIND: usize = 60 * ADDRESSES_PER_BLOCK;
+/// Descriptors that the rig itself uses.
+const RIG_DESCRIPTORS: usize = 128;
+/// Descriptors per dispatcher: its log, its watch of discovery and the connections of clients.
+const DESCRIPTORS_PER_DISPATCHER: usize = 14;
+/// Connections per dispatcher to log workers: the largest number observed with connections kept for 15 s.
+const CONNECTIONS_PER_DISPATCHER: usize = 40;
+/// Descriptors per link: its listener, and some connections with both ends.
+const DESCRIPTORS_PER_LINK: usize = 9;
 
-/// The loopback addresses of one rig.
+/// Assigns loopback addresses within 127.0.0.0/8 to the parties of one rig.
 #[derive(Clone, Copy, Debug)]
 pub struct LoopbackAddresses {
     block: u8,
 }
 
 impl LoopbackAddresses {
-    /// Addresses apart from those of most other rigs.
+    /// Chooses a block of addresses that most other rigs on the machine do not use.
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = std::process::id().wrapping_mul(31) + NEXT.fetch_add(1, Ordering::Relaxed);
-        // 127.0 is for everybody else.
+        // 127.0.0.0/16 is left to other programs.
         LoopbackAddresses { block: 1 + (number % 250) as u8 }
     }
 
-    /// The address of the `number`-th of a kind; the system chooses the port.
+    /// The address of the party with this number, with port 0, so that the system chooses the port.
     pub fn of(self, kind: AddressKind, number: usize) -> SocketAddr {
-        let third = kind as usize * 60 + number / IN_ONE % 60;
-        let address = Ipv4Addr::new(127, self.block, third as u8, 1 + (number % IN_ONE) as u8);
+        let third = kind as usize * 60 + number / ADDRESSES_PER_BLOCK % 60;
+        let address = Ipv4Addr::new(127, self.block, third as u8, 1 + (number % ADDRESSES_PER_BLOCK) as u8);
         SocketAddr::new(IpAddr::V4(address), 0)
     }
 }
@@ -93,31 +94,35 @@
     }
 }
 
-/// Checks that there is room, before anything is started. The limit of descriptors is raised as far as it may be.
+/// Checks that descriptors and addresses suffice, before anything is started. Raises the soft limit of open files to the
+/// hard limit.
 ///
 /// # Errors
-/// Says what is needed.
-pub fn check_capacity(s: &Scenario, links: usize) -> Result<(), CapacityError> {
+/// A resource does not suffice.
+pub fn check_capacity(scenario: &Scenario, links: usize) -> Result<(), CapacityError> {
     let limit = getrlimit(Resource::Nofile);
-    let most = limit.maximum.unwrap_or(u64::MAX);
+    let hard_limit = limit.maximum.unwrap_or(u64::MAX);
     let raised = Rlimit { current: limit.maximum, maximum: limit.maximum };
     let found = match setrlimit(Resource::Nofile, raised) {
-        Ok(()) => most,
+        Ok(()) => hard_limit,
         Err(_) => limit.current.unwrap_or(u64::MAX),
     };
-    enough(s, links, found)
+    check_limits(scenario, links, found)
 }
 
-/// Whether a limit of `found` descriptors is enough, and addresses are.
-fn enough(s: &Scenario, links: usize, found: u64) -> Result<(), CapacityError> {
-    let (dispatchers, workers) = (s.count("dispatchers"), s.count("workers"));
+/// Checks a scenario with this number of links against a limit of `found` descriptors and the number of addresses.
+fn check_limits(scenario: &Scenario, links: usize, found: u64) -> Result<(), CapacityError> {
+    let (dispatchers, workers) = (scenario.count("dispatchers"), scenario.count("workers"));
     for (count, what) in [(dispatchers, "dispatchers"), (workers, "log workers"), (links, "links")] {
         if count > MAX_PER_KIND {
             return Err(CapacityError::Addresses { found: count, what, most: MAX_PER_KIND });
         }
     }
-    let connections = EACH_CONNECTIONS.min(2 * workers);
-    let needed = OWN + workers + dispatchers * (EACH_DISPATCHER + connections) + links * EACH_LINK;
+    let connections = CONNECTIONS_PER_DISPATCHER.min(2 * workers);
+    let needed = RIG_DESCRIPTORS
+        + workers
+        + dispatchers * (DESCRIPTORS_PER_DISPATCHER + connections)
+        + links * DESCRIPTORS_PER_LINK;
     match found < needed as u64 {
         true => {
             Err(CapacityError::FileDescriptors { found, needed: needed as u64, dispatchers, workers, links })
@@ -131,28 +136,28 @@
     use super::*;
 
     #[test]
-    fn too_little_room_is_told_with_what_is_needed() {
-        let mut s = Scenario::default();
-        assert_eq!(enough(&s, 0, 1024), Ok(()));
-        s.values.insert("dispatchers", 300.0);
-        let error = enough(&s, 10, 1024).expect_err("too few");
+    fn an_error_states_the_limit_and_the_required_number() {
+        let mut scenario = Scenario::default();
+        assert_eq!(check_limits(&scenario, 0, 1024), Ok(()));
+        scenario.values.insert("dispatchers", 300.0);
+        let error = check_limits(&scenario, 10, 1024).expect_err("too few");
         assert_eq!(
             error.to_string(),
             "found a limit of 1024 open files, expected 11630 at least for 300 dispatchers, 12 log workers and 10 links \
              (ulimit -n)"
         );
-        s.values.insert("workers", 20_000.0);
-        let error = enough(&s, 0, u64::MAX).expect_err("too many");
+        scenario.values.insert("workers", 20_000.0);
+        let error = check_limits(&scenario, 0, u64::MAX).expect_err("too many");
         assert!(error.to_string().starts_with("found 20000 log workers, expected 15000 at most"), "{error}");
     }
 
     #[test]
-    fn everybody_has_an_address() {
-        let places = LoopbackAddresses::new();
-        let mut all = std::collections::HashSet::new();
+    fn all_parties_have_distinct_addresses() {
+        let addresses = LoopbackAddresses::new();
+        let mut distinct = std::collections::HashSet::new();
         for kind in [AddressKind::Dispatcher, AddressKind::Worker, AddressKind::Discovery, AddressKind::Link]
         {
-            assert!((0..MAX_PER_KIND).all(|number| all.insert(places.of(kind, number))));
+            assert!((0..MAX_PER_KIND).all(|number| distinct.insert(addresses.of(kind, number))));
         }
     }
 }
