--- a/crates/rig/src/dispatcher.rs
+++ b/crates/rig/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher: the real program as a process, with a folder, a loopback address and a name of its own.
+//! A dispatcher of a run: the real program as a child process, with its own folder, loopback address and name.
 
 use std::collections::VecDeque;
 use std::ffi::OsStr;
@@ -20,66 +20,66 @@
 use crate::http_client::get;
 use crate::supervisor::{SupervisedProcess, Supervisor};
 
-/// Lines of its log that are kept for whoever asks.
-const LINES: usize = 400;
+/// Number of recent log lines that are kept per dispatcher.
+const MAX_LOG_LINES: usize = 400;
 
-/// Where a dispatcher's failed system calls are logged, in its folder.
+/// File in a dispatcher's folder that logs each injected system call failure.
 const FAULTS_LOG: &str = "faults.log";
 
-/// System calls that fail, by the preloaded library `rookspoke-faults`.
+/// Injection of system call failures by the preloaded library `rookspoke-faults`.
 #[derive(Clone, Debug)]
 pub struct FaultInjection {
-    /// The library.
+    /// Path of the library.
     pub library: PathBuf,
-    /// What fails, as it reads it.
+    /// The schedule of failures, in the format that the library reads.
     pub schedule: String,
 }
 
-/// Why a dispatcher is not there.
+/// A dispatcher could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// It could not be started at all.
+    /// Its configuration could not be written or its process could not be started.
     #[error("{name} cannot be started: {error}")]
     Spawn {
-        /// Its name.
+        /// The dispatcher's name.
         name: String,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// It ended, or did not say that it listens, or that it is ready, in time.
+    /// Its process exited, or did not listen or become ready within the timeout.
     #[error("{name} {problem}; its log ends with:\n{log}")]
     NotReady {
-        /// Its name.
+        /// The dispatcher's name.
         name: String,
-        /// What it did.
+        /// What was observed, as the predicate of a sentence.
         problem: String,
-        /// The last lines of its log.
+        /// The last lines of the log.
         log: String,
     },
-    /// It was to start, and runs.
-    #[error("{0} runs already")]
+    /// Its process was to be started while it is running.
+    #[error("{0} is already running")]
     AlreadyRunning(String),
 }
 
-/// What a process listens on, as it says itself.
+/// Addresses that a process listens on, read from its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Doors {
+struct ListenState {
     clients: Option<SocketAddr>,
     console: Option<SocketAddr>,
-    /// The process has ended.
-    ended: bool,
+    /// The log has ended, so the process has exited.
+    exited: bool,
 }
 
 struct Running {
     process: SupervisedProcess,
-    doors: watch::Receiver<Doors>,
+    listening: watch::Receiver<ListenState>,
 }
 
-/// A dispatcher, running or not.
+/// A dispatcher, whether its process is running or not.
 pub struct Dispatcher {
-    /// Its name: `n` and its number.
+    /// The name: `n` followed by the number.
     pub name: String,
-    /// Its number.
+    /// The number within the scenario, from 0.
     pub number: usize,
     folder: PathBuf,
     program: PathBuf,
@@ -88,20 +88,20 @@
     config: Mutex<Value>,
     running: tokio::sync::Mutex<Option<Running>>,
     log: Arc<Mutex<VecDeque<String>>>,
-    doors: Mutex<Doors>,
+    listening: Mutex<ListenState>,
     faults: Option<FaultInjection>,
 }
 
-/// The platform's JSON for a scenario's dispatcher of this number.
+/// Builds the platform's JSON configuration of a scenario's dispatcher.
 pub fn platform_config(
-    s: &Scenario,
+    scenario: &Scenario,
     number: usize,
     address: IpAddr,
     discovery: SocketAddr,
     seed: u64,
 ) -> Value {
-    let set = settings(s, number);
-    let classes: Vec<Value> = s
+    let settings = settings(scenario, number);
+    let classes: Vec<Value> = scenario
         .classes
         .iter()
         .map(|class| {
@@ -113,28 +113,28 @@
             })
         })
         .collect();
-    let stretch: Vec<f64> = s.classes.iter().map(|class| class.get("stretch")).collect();
+    let stretch: Vec<f64> = scenario.classes.iter().map(|class| class.get("stretch")).collect();
     let listen = SocketAddr::new(address, 0);
     json!({
         "name": format!("n{number}"), "listen": listen, "console": listen, "discovery": discovery,
         "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": null,
         "settings": {
-            "balancers": set.dispatchers, "me": number, "zone": set.zone.as_ref(),
-            "localities": set.zones.iter().map(|zone| zone.as_ref()).collect::<Vec<&str>>(),
+            "balancers": settings.dispatchers, "me": number, "zone": settings.zone.as_ref(),
+            "localities": settings.zones.iter().map(|zone| zone.as_ref()).collect::<Vec<&str>>(),
             "machine_types": ["std"], "classes": classes, "discovery": "subscribe", "projects": [],
-            "quantum_ms": s.get("tick"), "prices": {"cross_zone": set.cross_zone_price},
+            "quantum_ms": scenario.get("tick"), "prices": {"cross_zone": settings.cross_zone_price},
             "limits": {
-                "cancel": true, "probes": set.limits.probes, "second_copies": set.limits.second_copies,
-                "retry_after": set.limits.retry_after, "send_cap": set.limits.max_attempts,
-                "max_retry_after_ms": set.limits.max_retry_after.ms(), "conn_idle_ms": s.get("connection.idle"),
-                "connect_timeout_ms": s.get("connection.timeout"),
+                "cancel": true, "probes": settings.limits.probes, "second_copies": settings.limits.second_copies,
+                "retry_after": settings.limits.retry_after, "send_cap": settings.limits.max_attempts,
+                "max_retry_after_ms": settings.limits.max_retry_after.ms(), "conn_idle_ms": scenario.get("connection.idle"),
+                "connect_timeout_ms": scenario.get("connection.timeout"),
             },
             "reporting": {"how": "probe", "fields": ["x0", "cpu_share"]},
             "rules": {
-                "answer_slack_ms": s.get("rules.answer-slack"), "ask_every_ms": s.get("rules.ask-every"),
-                "stop_sending_within_ms": s.get("rules.drain-grace"), "cold_from": s.get("rules.cold-from"),
-                "ramp_time_ms": s.get("rules.cold-for"), "fall_multiple": s.get("rules.fall-multiple"),
-                "overload_for_ms": s.get("rules.fall-span"),
+                "answer_slack_ms": scenario.get("rules.answer-slack"), "ask_every_ms": scenario.get("rules.ask-every"),
+                "stop_sending_within_ms": scenario.get("rules.drain-grace"), "cold_from": scenario.get("rules.cold-from"),
+                "ramp_time_ms": scenario.get("rules.cold-for"), "fall_multiple": scenario.get("rules.fall-multiple"),
+                "overload_for_ms": scenario.get("rules.fall-span"),
             },
             "specifics": {"tells_start": true, "class_stretch": stretch, "report_x0": "free_slots"},
         },
@@ -142,10 +142,10 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that does not run yet.
+    /// Creates a dispatcher without starting its process.
     ///
     /// # Errors
-    /// Its folder cannot be made.
+    /// Its folder cannot be created.
     pub fn new(
         supervisor: &Arc<Supervisor>,
         program: &Path,
@@ -166,34 +166,34 @@
             config: Mutex::new(config),
             running: tokio::sync::Mutex::default(),
             log: Arc::default(),
-            doors: Mutex::default(),
+            listening: Mutex::default(),
             faults: None,
         })
     }
 
-    /// The same with system calls that fail.
+    /// Sets the system call failures that are injected into its processes.
     pub fn with_faults(self, faults: Option<FaultInjection>) -> Self {
         Dispatcher { faults, ..self }
     }
 
-    /// How often a system call of its processes was made to fail.
+    /// Number of system call failures that were injected into its processes.
     pub fn injected_faults(&self) -> usize {
         std::fs::read_to_string(self.folder.join(FAULTS_LOG)).unwrap_or_default().lines().count()
     }
 
-    fn lives(&self, life: ProcessEvent) {
-        self.event_log.record(Event::Dispatcher { dispatcher: self.number, event: life });
+    fn record(&self, event: ProcessEvent) {
+        self.event_log.record(Event::Dispatcher { dispatcher: self.number, event });
     }
 
-    /// The configuration that its next process reads.
+    /// The configuration for its next process, which the caller may change.
     pub fn config(&self) -> MutexGuard<'_, Value> {
         self.config.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts its process, and waits until that listens. A later process has the addresses of the first.
+    /// Starts the process and waits until it listens. Later processes use the addresses of the first.
     ///
     /// # Errors
-    /// It does not come up.
+    /// The process cannot be started, exits, or does not listen within the timeout.
     pub async fn start(&self, timeout: Duration) -> Result<(), StartError> {
         let mut running = self.running.lock().await;
         if running.is_some() {
@@ -215,8 +215,8 @@
             .spawn(&self.program, &arguments, &self.folder, &variables)
             .await
             .map_err(spawn)?;
-        self.lives(ProcessEvent::Started);
-        let (sender, doors) = watch::channel(Doors::default());
+        self.record(ProcessEvent::Started);
+        let (sender, listening) = watch::channel(ListenState::default());
         if let Some(stderr) = process.child.stderr.take() {
             tokio::spawn(read_log(
                 stderr,
@@ -226,41 +226,43 @@
                 sender,
             ));
         }
-        let mut known = doors.clone();
-        *running = Some(Running { process, doors });
-        let open = |doors: &Doors| doors.clients.is_some() && doors.console.is_some() || doors.ended;
-        let found = tokio::time::timeout(timeout, known.wait_for(open)).await;
-        let what = match found {
-            Ok(Ok(doors)) if !doors.ended => {
-                self.listens_at(*doors);
+        let mut updates = listening.clone();
+        *running = Some(Running { process, listening });
+        let is_up = |listening: &ListenState| {
+            listening.clients.is_some() && listening.console.is_some() || listening.exited
+        };
+        let result = tokio::time::timeout(timeout, updates.wait_for(is_up)).await;
+        let problem = match result {
+            Ok(Ok(listening)) if !listening.exited => {
+                self.set_listen_state(*listening);
                 return Ok(());
             }
-            Ok(_) => "ended at its start",
-            Err(_) => "does not listen",
+            Ok(_) => "exited before it listened",
+            Err(_) => "did not listen within the timeout",
         };
         *running = None;
-        Err(self.not_ready(what))
+        Err(self.not_ready(problem))
     }
 
-    fn listens_at(&self, doors: Doors) {
-        *self.doors.lock().unwrap_or_else(PoisonError::into_inner) = doors;
+    fn set_listen_state(&self, listening: ListenState) {
+        *self.listening.lock().unwrap_or_else(PoisonError::into_inner) = listening;
         let mut config = self.config();
-        for (field, address) in [("listen", doors.clients), ("console", doors.console)] {
+        for (field, address) in [("listen", listening.clients), ("console", listening.console)] {
             config[field] = json!(address);
         }
     }
 
-    fn not_ready(&self, what: &str) -> StartError {
+    fn not_ready(&self, problem: &str) -> StartError {
         let log = self.recent_log().into_iter().rev().take(8).rev().collect::<Vec<_>>().join("\n");
-        StartError::NotReady { name: self.name.clone(), problem: what.into(), log }
+        StartError::NotReady { name: self.name.clone(), problem: problem.into(), log }
     }
 
-    /// Waits until it says that it is ready for clients.
+    /// Waits until its readiness check succeeds.
     ///
     /// # Errors
-    /// It does not become ready in time.
+    /// It does not become ready within the timeout.
     pub async fn wait_until_ready(&self, timeout: Duration) -> Result<(), StartError> {
-        let asks = async {
+        let readiness = async {
             loop {
                 if let Some(address) = self.client_address() {
                     if get(address, "/health/ready").await.is_ok_and(|(status, _)| status == 200) {
@@ -270,147 +272,151 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        match tokio::time::timeout(timeout, asks).await {
+        match tokio::time::timeout(timeout, readiness).await {
             Ok(()) => {
-                self.lives(ProcessEvent::Ready);
+                self.record(ProcessEvent::Ready);
                 Ok(())
             }
-            Err(_) => Err(self.not_ready("is not ready")),
+            Err(_) => Err(self.not_ready("was not ready within the timeout")),
         }
     }
 
-    fn known_doors(&self) -> Doors {
-        *self.doors.lock().unwrap_or_else(PoisonError::into_inner)
+    fn listen_state(&self) -> ListenState {
+        *self.listening.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where clients reach it, once it has been up.
+    /// The address for clients, known once a process has listened.
     pub fn client_address(&self) -> Option<SocketAddr> {
-        self.known_doors().clients
+        self.listen_state().clients
     }
 
-    /// Where operators reach it, once it has been up.
+    /// The address of the operators' console, known once a process has listened.
     pub fn console_address(&self) -> Option<SocketAddr> {
-        self.known_doors().console
+        self.listen_state().console
     }
 
-    /// The last lines of its log.
+    /// The recent lines of its log.
     pub fn recent_log(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    /// Its process id, while it runs.
+    /// The process id, if it is running.
     pub async fn pid(&self) -> Option<i32> {
         self.running.lock().await.as_ref().map(|running| running.process.pid())
     }
 
-    /// Kills it at once.
+    /// Sends SIGKILL and waits for the process to exit.
     pub async fn kill(&self) {
         if let Some(mut running) = self.running.lock().await.take() {
-            self.lives(ProcessEvent::Killed);
+            self.record(ProcessEvent::Killed);
             let _ = running.process.signal(Signal::KILL);
             let _ = running.process.wait().await;
         }
     }
 
-    /// Tells it to end, and waits; what has not ended after `timeout` is killed. True where it ended by itself.
+    /// Sends SIGTERM and waits; a process that has not exited after `timeout` is killed. Returns whether it exited by
+    /// itself.
     pub async fn terminate(&self, timeout: Duration) -> bool {
         let Some(mut running) = self.running.lock().await.take() else { return false };
-        self.lives(ProcessEvent::Terminated);
+        self.record(ProcessEvent::Terminated);
         let _ = running.process.signal(Signal::TERM);
         let ended = tokio::time::timeout(timeout, running.process.wait()).await.is_ok();
-        self.lives(if ended { ProcessEvent::Exited } else { ProcessEvent::Killed });
+        self.record(if ended { ProcessEvent::Exited } else { ProcessEvent::Killed });
         ended
     }
 
-    /// Stops it where it stands.
+    /// Suspends the process with SIGSTOP.
     pub async fn suspend(&self) {
         if let Some(running) = &*self.running.lock().await {
             let _ = running.process.signal(Signal::STOP);
-            self.lives(ProcessEvent::Stopped);
+            self.record(ProcessEvent::Stopped);
         }
     }
 
-    /// Lets it go on.
+    /// Continues a suspended process with SIGCONT.
     pub async fn resume(&self) {
         if let Some(running) = &*self.running.lock().await {
             let _ = running.process.signal(Signal::CONT);
-            self.lives(ProcessEvent::Resumed);
+            self.record(ProcessEvent::Resumed);
         }
     }
 
-    /// Lets it run for this part of the time only, in turns of `turn`, until `length` has passed.
-    pub async fn throttle(&self, part: f64, turn: Duration, length: Duration) {
+    /// Limits the process to a fraction of the time: suspends and continues it once per `period`, until `length` has
+    /// passed.
+    pub async fn throttle(&self, running_fraction: f64, period: Duration, length: Duration) {
         let end = tokio::time::Instant::now() + length;
-        let runs = turn.mul_f64(part.clamp(0.0, 1.0));
+        let running_time = period.mul_f64(running_fraction.clamp(0.0, 1.0));
         while tokio::time::Instant::now() < end {
             self.suspend().await;
-            tokio::time::sleep(turn - runs).await;
+            tokio::time::sleep(period - running_time).await;
             self.resume().await;
-            tokio::time::sleep(runs).await;
+            tokio::time::sleep(running_time).await;
         }
     }
 
-    /// Whether its process has ended without being told to.
+    /// Whether its process has exited without a signal from the rig.
     pub async fn has_crashed(&self) -> bool {
-        self.running.lock().await.as_ref().is_some_and(|running| running.doors.borrow().ended)
+        self.running.lock().await.as_ref().is_some_and(|running| running.listening.borrow().exited)
     }
 
-    /// Memory in use (KiB) and processor time used (seconds), by the system's count.
+    /// Resident memory in KiB and processor time in seconds, as `/proc` states them.
     pub async fn usage(&self) -> Option<(u64, f64)> {
         let pid = self.pid().await?;
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let memory = memory.trim().split(' ').next()?.parse().ok()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // After the name, which may hold anything: the 12th and 13th are ticks in user and system mode.
+        // Fields are counted after the process name, which may contain any character: the 12th and 13th are the ticks in
+        // user and system mode.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok());
-        let spent = (ticks(11)? + ticks(12)?) as f64 / rustix::param::clock_ticks_per_second() as f64;
-        Some((memory, spent))
+        let cpu_s = (ticks(11)? + ticks(12)?) as f64 / rustix::param::clock_ticks_per_second() as f64;
+        Some((memory, cpu_s))
     }
 
-    /// What it says of itself: each figure by its name.
+    /// Its own counters by name, read from the console.
     pub async fn counters(&self) -> Option<Vec<(String, u64)>> {
         let (status, text) = get(self.console_address()?, "/control/counters").await.ok()?;
-        let figure = |line: &str| {
+        let parse_counter = |line: &str| {
             let (name, value) = line.strip_prefix("proxy.")?.split_once(':')?;
             Some((name.to_owned(), value.split('|').next()?.parse().ok()?))
         };
-        (status == 200).then(|| text.lines().filter_map(figure).collect())
+        (status == 200).then(|| text.lines().filter_map(parse_counter).collect())
     }
 }
 
-/// The address after `listens at`, if the line tells one.
-fn address(line: &str, front: &str) -> Option<SocketAddr> {
+/// The address in the log line that states where this front listens.
+fn listen_address(line: &str, front: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(&format!("{front} listens at "))?;
     let end = rest.find(|c: char| !c.is_ascii_digit() && !".:".contains(c)).unwrap_or(rest.len());
     rest[..end].parse().ok()
 }
 
+/// Reads the log of a process to its end: records each line, keeps the recent ones, and extracts listen addresses.
 async fn read_log(
     from: impl AsyncRead + Unpin,
     name: String,
     log: Arc<Mutex<VecDeque<String>>>,
     event_log: EventLog,
-    doors: watch::Sender<Doors>,
+    listening: watch::Sender<ListenState>,
 ) {
     let mut lines = BufReader::new(from).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         for (front, clients) in [(": http", true), (": the console", false)] {
-            if let Some(at) = address(&line, front) {
-                doors.send_modify(|doors| {
-                    *(if clients { &mut doors.clients } else { &mut doors.console }) = Some(at);
+            if let Some(at) = listen_address(&line, front) {
+                listening.send_modify(|listening| {
+                    *(if clients { &mut listening.clients } else { &mut listening.console }) = Some(at);
                 });
             }
         }
         {
             let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
             log.push_back(line.clone());
-            if log.len() > LINES {
+            if log.len() > MAX_LOG_LINES {
                 log.pop_front();
             }
         }
         event_log.record(Event::Log { process: name.clone(), line });
     }
-    doors.send_modify(|doors| doors.ended = true);
+    listening.send_modify(|listening| listening.exited = true);
 }
--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -161,7 +161,7 @@
         let broken = Options { program: Path::new("/bin/false").to_owned(), ..options() };
         let error = Rig::start(scenario(SMALL), broken).await.err().expect("an error");
         assert!(matches!(error, RigError::Start(_)), "{error}");
-        assert!(error.to_string().contains("ended at its start"), "{error}");
+        assert!(error.to_string().contains("exited before it listened"), "{error}");
     });
 }
 
