--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,5 +1,5 @@
-//! Plays drawn from a seed: sizes, classes of jobs, habits of clients and discovery, a schedule of incidents, and system
-//! calls that fail. A drawn play is a script in text, so it can be read, kept, played again and cut down.
+//! Scenarios generated at random from a seed: sizes, classes of jobs, parameters of clients and discovery, incidents, and
+//! system call failures. A generated scenario is a text script, so that it can be read, stored, run again and reduced.
 
 use std::fmt;
 
@@ -7,95 +7,102 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-/// How long clients send.
+/// How long clients send jobs.
 const LENGTH_MS: u64 = 5_000;
-/// Incidents begin within this time.
-const INCIDENTS_BEGIN_MS: std::ops::Range<u64> = 300..3_500;
-/// And go on for so long.
-const INCIDENTS_LAST_MS: std::ops::Range<u64> = 300..2_500;
-/// The shortest and the longest deadline of clients.
+/// Range of the start times of incidents.
+const INCIDENT_START_MS: std::ops::Range<u64> = 300..3_500;
+/// Range of the durations of incidents.
+const INCIDENT_LENGTH_MS: std::ops::Range<u64> = 300..2_500;
+/// Range of the deadlines of clients.
 const DEADLINES_MS: std::ops::RangeInclusive<f64> = 200.0..=20_000.0;
-/// A job's work as a part of its deadline, and at most.
-const WORK_PART: std::ops::Range<f64> = 0.05..0.3;
-const MOST_WORK_MS: f64 = 500.0;
-/// When it counts as in time, as a part of its deadline.
-const AIM_PART: std::ops::Range<f64> = 0.3..0.9;
-/// Fetching what a job is about, as a part of the shortest deadline, and at most.
-const FETCH_PART: f64 = 0.1;
-const MOST_FETCH_MS: f64 = 300.0;
-/// Incidents of a play.
-const INCIDENTS: std::ops::RangeInclusive<usize> = 2..=5;
-
-/// The largest sizes that are drawn.
+/// Work of a job as a fraction of its deadline.
+const WORK_FRACTION: std::ops::Range<f64> = 0.05..0.3;
+/// Upper limit of a job's work.
+const MAX_WORK_MS: f64 = 500.0;
+/// Latency goal of a job as a fraction of its deadline.
+const AIM_FRACTION: std::ops::Range<f64> = 0.3..0.9;
+/// Time in which a log worker fetches a job's data, as a fraction of the shortest deadline.
+const FETCH_FRACTION: f64 = 0.1;
+/// Upper limit of that time.
+const MAX_FETCH_MS: f64 = 300.0;
+/// Range of the number of incidents in a scenario.
+const INCIDENT_COUNT: std::ops::RangeInclusive<usize> = 2..=5;
+
+/// Upper limits of the sizes of a generated scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeLimits {
-    /// Dispatchers, each a process.
+    /// Number of dispatchers, each of which is a process.
     pub dispatchers: usize,
-    /// Log workers.
+    /// Number of log workers.
     pub workers: usize,
 }
 
 impl SizeLimits {
-    /// For a few seeds in a minute beside other tests.
+    /// Sizes with which a few seeds run within a minute beside other tests.
     pub const SMALL: SizeLimits = SizeLimits { dispatchers: 4, workers: 10 };
-    /// For runs that have the machine to themselves.
+    /// Sizes for runs that have the machine to themselves.
     pub const FULL: SizeLimits = SizeLimits { dispatchers: 30, workers: 40 };
 }
 
-/// A play that was drawn, or what is left of one that was cut down.
+/// A scenario generated from a seed, or a reduced form of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RandomScenario {
-    /// For every draw within the play.
+    /// Seed of the scenario and of all random draws within its run.
     pub seed: u64,
-    /// Sizes, habits and classes, one line each.
+    /// Parameters, one line each, and classes, one block each.
     pub settings: Vec<String>,
-    /// The incidents, one line each.
+    /// Incidents, one line each.
     pub incidents: Vec<String>,
-    /// System calls of dispatchers that fail, as `rookspoke-faults` reads them.
+    /// System call failures of dispatchers, in the format of `rookspoke-faults`.
     pub faults: Vec<String>,
 }
 
 impl RandomScenario {
-    /// The play of a seed, no larger than this.
-    pub fn new(seed: u64, most: SizeLimits) -> Self {
+    /// Generates the scenario of a seed within the size limits.
+    pub fn new(seed: u64, limits: SizeLimits) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         RandomScenario {
             seed,
-            settings: settings(&mut rng, most),
+            settings: settings(&mut rng, limits),
             incidents: incidents(&mut rng),
             faults: faults(&mut rng),
         }
     }
 
-    /// Its script.
+    /// The scenario as a script.
     pub fn script(&self) -> String {
         [self.settings.join("\n"), self.incidents.join("\n")].join("\n") + "\n"
     }
 
-    /// Its schedule of failing system calls; none where no call fails.
+    /// The schedule of system call failures, or `None` if there are none.
     pub fn fault_schedule(&self) -> Option<String> {
         (!self.faults.is_empty()).then(|| format!("{} {}", self.seed, self.faults.join(" ")))
     }
 
-    /// Each play that has one incident or one failing call less.
+    /// All scenarios with one incident or one system call failure less.
     pub fn reductions(&self) -> Vec<RandomScenario> {
-        let without = |parts: &[String], left_out: usize| -> Vec<String> {
-            parts.iter().enumerate().filter(|(at, _)| *at != left_out).map(|(_, part)| part.clone()).collect()
+        let without = |parts: &[String], omitted: usize| -> Vec<String> {
+            parts
+                .iter()
+                .enumerate()
+                .filter(|(index, _)| *index != omitted)
+                .map(|(_, part)| part.clone())
+                .collect()
         };
         let fewer_incidents = (0..self.incidents.len())
-            .map(|at| RandomScenario { incidents: without(&self.incidents, at), ..self.clone() });
+            .map(|index| RandomScenario { incidents: without(&self.incidents, index), ..self.clone() });
         let fewer_faults = (0..self.faults.len())
-            .map(|at| RandomScenario { faults: without(&self.faults, at), ..self.clone() });
+            .map(|index| RandomScenario { faults: without(&self.faults, index), ..self.clone() });
         fewer_incidents.chain(fewer_faults).collect()
     }
 
-    /// The smallest play that still fails, found by leaving out one part after another.
+    /// Reduces a failing scenario: omits one part after another as long as the rest still fails.
     pub fn shrink(self, mut fails: impl FnMut(&RandomScenario) -> bool) -> RandomScenario {
-        let mut least = self;
-        while let Some(smaller) = least.reductions().into_iter().find(&mut fails) {
-            least = smaller;
+        let mut minimal = self;
+        while let Some(smaller) = minimal.reductions().into_iter().find(&mut fails) {
+            minimal = smaller;
         }
-        least
+        minimal
     }
 }
 
@@ -106,38 +113,38 @@
     }
 }
 
-fn settings(rng: &mut SmallRng, most: SizeLimits) -> Vec<String> {
-    let dispatchers = rng.random_range(2..=most.dispatchers);
-    let workers = rng.random_range(1..=most.workers);
+fn settings(rng: &mut SmallRng, limits: SizeLimits) -> Vec<String> {
+    let dispatchers = rng.random_range(2..=limits.dispatchers);
+    let workers = rng.random_range(1..=limits.workers);
     let zones = rng.random_range(1..=2.min(workers));
     let classes =
-        [ClassDraw::new(rng, "log-lookup", "safe", 3), ClassDraw::new(rng, "qso-confirm", "once", 1)];
+        [RandomClass::new(rng, "log-lookup", "safe", 3), RandomClass::new(rng, "qso-confirm", "once", 1)];
     let shortest_ms = classes.iter().map(|class| class.deadline_ms).fold(f64::INFINITY, f64::min);
-    let switch = |on: bool| if on { "on" } else { "off" };
+    let on_off = |on: bool| if on { "on" } else { "off" };
     let mut lines = vec![
         format!("length {LENGTH_MS}ms"),
         format!("dispatchers {dispatchers}"),
         format!("workers {workers}"),
         format!("zones {zones}"),
         format!("worker.cold-for {}ms", rng.random_range(2_000..20_000)),
-        format!("store.fetch {:.0}ms", (shortest_ms * FETCH_PART).min(MOST_FETCH_MS)),
+        format!("store.fetch {:.0}ms", (shortest_ms * FETCH_FRACTION).min(MAX_FETCH_MS)),
         format!("clients.load {:.2}", rng.random_range(0.2..0.9)),
         format!("clients.retries {}", rng.random_range(0..=2)),
         format!("clients.keys {}", rng.random_range(1..=80)),
         format!("discovery.notices {}ms", rng.random_range(50..1_500)),
         format!("discovery.calls {}", rng.random_range(2..=40)),
         format!("limits.attempts {}", rng.random_range(1..=6)),
-        format!("limits.second-copies {}", switch(rng.random())),
-        format!("limits.probes {}", switch(rng.random())),
-        format!("worker.hands-back {}", switch(rng.random())),
-        format!("worker.cancels-running {}", switch(rng.random())),
+        format!("limits.second-copies {}", on_off(rng.random())),
+        format!("limits.probes {}", on_off(rng.random())),
+        format!("worker.hands-back {}", on_off(rng.random())),
+        format!("worker.cancels-running {}", on_off(rng.random())),
     ];
-    lines.extend(classes.iter().map(ClassDraw::lines));
+    lines.extend(classes.iter().map(RandomClass::lines));
     lines
 }
 
-/// A class of jobs that was drawn.
-struct ClassDraw {
+/// A randomly generated class of jobs.
+struct RandomClass {
     name: &'static str,
     effect: &'static str,
     share: u32,
@@ -146,17 +153,18 @@
     deadline_ms: f64,
 }
 
-impl ClassDraw {
+impl RandomClass {
     fn new(rng: &mut SmallRng, name: &'static str, effect: &'static str, share: u32) -> Self {
-        let (least, most) = (DEADLINES_MS.start().ln(), DEADLINES_MS.end().ln());
-        let deadline_ms = rng.random_range(least..most).exp();
-        let work_ms = (deadline_ms * rng.random_range(WORK_PART)).min(MOST_WORK_MS);
-        let aim_ms = deadline_ms * rng.random_range(AIM_PART);
-        ClassDraw { name, effect, share, work_ms, aim_ms, deadline_ms }
+        // Drawn uniformly on a logarithmic scale.
+        let (log_min, log_max) = (DEADLINES_MS.start().ln(), DEADLINES_MS.end().ln());
+        let deadline_ms = rng.random_range(log_min..log_max).exp();
+        let work_ms = (deadline_ms * rng.random_range(WORK_FRACTION)).min(MAX_WORK_MS);
+        let aim_ms = deadline_ms * rng.random_range(AIM_FRACTION);
+        RandomClass { name, effect, share, work_ms, aim_ms, deadline_ms }
     }
 
     fn lines(&self) -> String {
-        let ClassDraw { name, effect, share, work_ms, aim_ms, deadline_ms } = self;
+        let RandomClass { name, effect, share, work_ms, aim_ms, deadline_ms } = self;
         format!(
             "class {name} {{\n    effect {effect}\n    share {share}\n    work {work_ms:.0}ms\n    \
              aim {aim_ms:.0}ms\n    deadline {deadline_ms:.0}ms\n}}"
@@ -164,29 +172,29 @@
     }
 }
 
-/// Incidents of kinds that may meet each other. Of those that end dispatchers a play has one: the same process cannot be
-/// started by two.
+/// Draws incidents of kinds that may overlap. At most one of them affects dispatchers' processes, since two incidents
+/// could not both restart the same process.
 fn incidents(rng: &mut SmallRng) -> Vec<String> {
-    let of_workers =
+    let worker_kinds =
         ["rolling", "crash", "silent", "slow", "pause", "neighbour", "reports-late", "costly", "link-refuse"];
-    let of_discovery = ["discovery-gone", "discovery-silent", "discovery-old"];
-    let of_dispatchers = ["restart", "kill", "host-pause", "slowed"];
-    let mut kinds = vec![of_discovery.choose(rng), of_dispatchers.choose(rng)];
-    kinds.extend(of_workers.choose_multiple(rng, INCIDENTS.end() - kinds.len()).map(Some));
+    let discovery_kinds = ["discovery-gone", "discovery-silent", "discovery-old"];
+    let dispatcher_kinds = ["restart", "kill", "host-pause", "slowed"];
+    let mut kinds = vec![discovery_kinds.choose(rng), dispatcher_kinds.choose(rng)];
+    kinds.extend(worker_kinds.choose_multiple(rng, INCIDENT_COUNT.end() - kinds.len()).map(Some));
     let mut kinds: Vec<&str> = kinds.into_iter().flatten().copied().collect();
     kinds.shuffle(rng);
-    kinds.truncate(rng.random_range(INCIDENTS));
+    kinds.truncate(rng.random_range(INCIDENT_COUNT));
     kinds.into_iter().map(|kind| incident(rng, kind)).collect()
 }
 
 fn incident(rng: &mut SmallRng, kind: &str) -> String {
-    let at = rng.random_range(INCIDENTS_BEGIN_MS);
-    let length = rng.random_range(INCIDENTS_LAST_MS);
+    let at = rng.random_range(INCIDENT_START_MS);
+    let length = rng.random_range(INCIDENT_LENGTH_MS);
     let part = rng.random_range(0.1..1.0);
     let when = |kind: &str| format!("incident {kind} at {at}ms for {length}ms");
     match kind {
         "link-refuse" => format!("{} from dispatchers to workers part {part:.2} refuse", when("link")),
-        // The platform holds a process up for so long at most.
+        // The platform suspends a process for 150 ms at most.
         "host-pause" => format!("incident host-pause at {at}ms for 150ms part {part:.2}"),
         "slowed" => format!("{} part {part:.2} size 0.5", when(kind)),
         "rolling" => format!("{} part {part:.2} size {:.1}", when(kind), rng.random_range(0.5..2.0)),
@@ -199,7 +207,8 @@
     }
 }
 
-/// Failures that pass, by which no connection is lost, and steps of the wall clock: all rules hold under them.
+/// Draws temporary system call failures that break no connection, and steps of the wall clock. All invariants must hold
+/// in spite of them.
 fn faults(rng: &mut SmallRng) -> Vec<String> {
     const CALLS: [(&str, &[&str]); 6] = [
         ("receive", &["EINTR", "SHORT"]),
@@ -209,9 +218,9 @@
         ("socket", &["ENOBUFS", "EMFILE", "ENFILE"]),
         ("wait", &["EINTR"]),
     ];
-    let drawn = rng.random_range(0..=3);
+    let count = rng.random_range(0..=3);
     let mut faults: Vec<String> = CALLS
-        .choose_multiple(rng, drawn)
+        .choose_multiple(rng, count)
         .map(|(call, errors)| (*call, *errors))
         .collect::<Vec<_>>()
         .into_iter()
