--- a/crates/rig/src/routes.rs
+++ b/crates/rig/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which ways of a play lead through links, and what disturbs each of them at a time. No I/O.
+//! The routes between parties that lead through links, and the faults on each of them at a time. No I/O.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +6,45 @@
 use rookspoke_emulator::model::hit;
 use rookspoke_emulator::scenario::{Disturbance, Faults, Party, Scenario, Trouble};
 
-/// A way between two parties. Dispatchers that every disturbance treats alike are one group, and share their links
-/// to a log worker: three hundred dispatchers in two zones need two links to each, not three hundred.
+/// A route between two parties. Dispatchers whose routes to log workers have the same link incidents form a group and
+/// share one link to each log worker: with a cut between two zones, 300 dispatchers need two links to each log worker
+/// instead of 300.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Route {
-    /// From clients to a dispatcher.
+    /// From clients to the dispatcher with this number.
     Clients(usize),
-    /// From a dispatcher to discovery.
+    /// From the dispatcher with this number to discovery.
     Discovery(usize),
-    /// From a group of dispatchers to a log worker.
+    /// From a group of dispatchers to a log worker, by their numbers.
     Worker(usize, usize),
 }
 
-/// The ways of a play that are disturbed at some time.
+/// The routes of a scenario that have link incidents.
 #[derive(Clone, Debug)]
 pub struct Routes {
     /// The group of each dispatcher.
     pub groups: Vec<usize>,
-    /// For each way, which disturbances concern it, by their place in `all`.
-    pub disturbances_by_route: BTreeMap<Route, Vec<usize>>,
-    /// All disturbances: those of the script, then the cuts of zones.
-    pub disturbances: Vec<Disturbance>,
+    /// The link incidents of each route, as indices into `link_incidents`.
+    pub incidents_by_route: BTreeMap<Route, Vec<usize>>,
+    /// All link incidents: those of the script, then the cuts between zones.
+    pub link_incidents: Vec<Disturbance>,
 }
 
-/// What discovery has to tell counts as told after this, in any case.
-const TOLD_WITHIN: Span = Span(6_000_000);
-/// Draws of disturbances are apart from those of incidents.
-const DRAWS: usize = 1 << 20;
+/// The rig counts a notification by discovery as delivered after this time, whether or not it arrived.
+const NOTIFICATION_LIMIT: Span = Span(6_000_000);
+/// Added to the numbers of link incidents, so that their random draws differ from those of other incidents.
+const DRAW_OFFSET: usize = 1 << 20;
 
 impl Routes {
-    /// The ways that a scenario disturbs.
-    pub fn new(s: &Scenario, seed: u64) -> Self {
-        let (dispatchers, workers, zones) = (s.count("dispatchers"), s.count("workers"), s.count("zones"));
-        let mut all = s.disturbances.clone();
-        for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::ZoneCut) {
+    /// Determines the routes with link incidents and the groups of dispatchers.
+    pub fn new(scenario: &Scenario, seed: u64) -> Self {
+        let (dispatchers, workers, zones) =
+            (scenario.count("dispatchers"), scenario.count("workers"), scenario.count("zones"));
+        let mut link_incidents = scenario.disturbances.clone();
+        for incident in scenario.incidents.iter().filter(|incident| incident.trouble == Trouble::ZoneCut) {
             let cut = Faults { cut: true, ..Faults::default() };
             let pairs = (0..zones).flat_map(|a| (0..zones).map(move |b| (a, b))).filter(|(a, b)| a != b);
-            all.extend(pairs.map(|(a, b)| Disturbance {
+            link_incidents.extend(pairs.map(|(a, b)| Disturbance {
                 at: incident.at,
                 length: incident.length,
                 from: Party::Dispatchers(Some(a)),
@@ -52,122 +54,137 @@
                 back: cut,
             }));
         }
-        let from: Vec<Vec<usize>> = all.iter().map(|one| members(one.from, dispatchers, zones)).collect();
-        let to: Vec<Vec<usize>> = all
+        let from: Vec<Vec<usize>> =
+            link_incidents.iter().map(|incident| members(incident.from, dispatchers, zones)).collect();
+        let to: Vec<Vec<usize>> = link_incidents
             .iter()
             .enumerate()
-            .map(|(number, one)| {
-                let of = match one.to {
+            .map(|(number, incident)| {
+                let party_count = match incident.to {
                     Party::Dispatchers(_) | Party::Dispatcher(_) => dispatchers,
                     _ => workers,
                 };
-                let everybody = members(one.to, of, zones);
-                let drawn = hit(seed, DRAWS + number, one.part, everybody.len());
-                drawn.into_iter().map(|at| everybody[at]).collect()
+                let candidates = members(incident.to, party_count, zones);
+                let drawn = hit(seed, DRAW_OFFSET + number, incident.part, candidates.len());
+                drawn.into_iter().map(|at| candidates[at]).collect()
             })
             .collect();
         let leads_to_workers =
-            |number: &usize| matches!(all[*number].to, Party::Workers(_) | Party::Worker(_));
-        // A dispatcher's group: which of the disturbances towards log workers begin at it.
+            |number: &usize| matches!(link_incidents[*number].to, Party::Workers(_) | Party::Worker(_));
+        // Dispatchers form a group if the same link incidents to log workers begin at them.
         let signature = |dispatcher: usize| -> Vec<usize> {
-            (0..all.len()).filter(leads_to_workers).filter(|n| from[*n].contains(&dispatcher)).collect()
+            (0..link_incidents.len())
+                .filter(leads_to_workers)
+                .filter(|number| from[*number].contains(&dispatcher))
+                .collect()
         };
-        let mut known: Vec<Vec<usize>> = Vec::new();
+        let mut signatures: Vec<Vec<usize>> = Vec::new();
         let groups: Vec<usize> = (0..dispatchers)
             .map(|dispatcher| {
                 let own = signature(dispatcher);
-                known.iter().position(|other| *other == own).unwrap_or_else(|| {
-                    known.push(own);
-                    known.len() - 1
+                signatures.iter().position(|other| *other == own).unwrap_or_else(|| {
+                    signatures.push(own);
+                    signatures.len() - 1
                 })
             })
             .collect();
-        let mut disturbed: BTreeMap<Route, Vec<usize>> = BTreeMap::new();
-        for (number, one) in all.iter().enumerate() {
-            let ways: Vec<Route> = match one.to {
-                Party::Discovery => from[number].iter().map(|d| Route::Discovery(*d)).collect(),
+        let mut incidents_by_route: BTreeMap<Route, Vec<usize>> = BTreeMap::new();
+        for (number, incident) in link_incidents.iter().enumerate() {
+            let routes: Vec<Route> = match incident.to {
+                Party::Discovery => {
+                    from[number].iter().map(|dispatcher| Route::Discovery(*dispatcher)).collect()
+                }
                 Party::Dispatchers(_) | Party::Dispatcher(_) => {
-                    to[number].iter().map(|d| Route::Clients(*d)).collect()
+                    to[number].iter().map(|dispatcher| Route::Clients(*dispatcher)).collect()
                 }
-                Party::Workers(_) | Party::Worker(_) => (0..known.len())
-                    .filter(|group| known[*group].contains(&number))
+                Party::Workers(_) | Party::Worker(_) => (0..signatures.len())
+                    .filter(|group| signatures[*group].contains(&number))
                     .flat_map(|group| to[number].iter().map(move |worker| Route::Worker(group, *worker)))
                     .collect(),
-                // No way leads there, and no script is read that says so.
+                // Nothing connects to clients, and the script reader rejects such an incident.
                 Party::Clients => Vec::new(),
             };
-            ways.into_iter().for_each(|way| disturbed.entry(way).or_default().push(number));
+            routes.into_iter().for_each(|route| incidents_by_route.entry(route).or_default().push(number));
         }
-        Routes { groups, disturbances_by_route: disturbed, disturbances: all }
+        Routes { groups, incidents_by_route, link_incidents }
     }
 
-    /// How many groups of dispatchers there are.
+    /// Number of groups of dispatchers.
     pub fn group_count(&self) -> usize {
-        self.groups.iter().max().map_or(1, |most| most + 1)
+        self.groups.iter().max().map_or(1, |last| last + 1)
     }
 
-    /// What disturbs a way while these disturbances are on, there and back.
-    pub fn faults(&self, way: Route, on: &[usize]) -> (Faults, Faults) {
-        let concerns = self.disturbances_by_route.get(&way).map_or(&[][..], Vec::as_slice);
-        let now =
-            concerns.iter().filter(|number| on.contains(number)).map(|number| &self.disturbances[*number]);
-        now.fold((Faults::default(), Faults::default()), |(there, back), one| {
-            (both(there, one.there), both(back, one.back))
+    /// The faults of a route while the link incidents with these indices are active, forward and backward.
+    pub fn faults(&self, route: Route, active: &[usize]) -> (Faults, Faults) {
+        let incidents = self.incidents_by_route.get(&route).map_or(&[][..], Vec::as_slice);
+        let in_effect = incidents
+            .iter()
+            .filter(|number| active.contains(number))
+            .map(|number| &self.link_incidents[*number]);
+        in_effect.fold((Faults::default(), Faults::default()), |(forward, backward), incident| {
+            (combine(forward, incident.there), combine(backward, incident.back))
         })
     }
 
-    /// The longest that links hold up news of a drain on its way to a dispatcher, and what the dispatcher sends on its
-    /// way to the log worker. Whatever discovery has to tell counts as told 6 s afterwards, whether it arrived or not.
+    /// The longest delay that links add between the notice of a drain and the arrival of the last request: to the notice
+    /// on its way to a dispatcher, and to the request on its way to the log worker. A notice counts as delivered 6 s
+    /// after it was sent, whether or not it arrived.
     pub fn max_drain_delay(&self) -> Span {
-        let to_workers =
-            self.disturbances.iter().filter(|one| matches!(one.to, Party::Workers(_) | Party::Worker(_)));
-        let sends = to_workers.fold(Span(0), |sum, one| sum + one.there.delay + one.there.jitter);
-        let news =
-            self.disturbances.iter().filter(|one| one.to == Party::Discovery).fold(Span(0), |sum, one| {
-                let Faults { delay, jitter, cut, refuse, .. } = one.back;
-                let lost = cut || refuse || one.there.cut || one.there.refuse;
-                sum + if lost { TOLD_WITHIN } else { delay + jitter }
+        let to_workers = self
+            .link_incidents
+            .iter()
+            .filter(|incident| matches!(incident.to, Party::Workers(_) | Party::Worker(_)));
+        let request_delay =
+            to_workers.fold(Span(0), |sum, incident| sum + incident.there.delay + incident.there.jitter);
+        let notice_delay = self
+            .link_incidents
+            .iter()
+            .filter(|incident| incident.to == Party::Discovery)
+            .fold(Span(0), |sum, incident| {
+                let Faults { delay, jitter, cut, refuse, .. } = incident.back;
+                let lost = cut || refuse || incident.there.cut || incident.there.refuse;
+                sum + if lost { NOTIFICATION_LIMIT } else { delay + jitter }
             });
-        sends + news.min(TOLD_WITHIN)
+        request_delay + notice_delay.min(NOTIFICATION_LIMIT)
     }
 
-    /// The longest that links hold up a request, or the end of its connection, between a client and a log worker. What is
-    /// on a link that is cut or slow comes at the latest when that is over.
+    /// The longest delay that links add to a request, or to the end of its connection, between a client and a log worker.
+    /// Data on a link that is cut or has a limited rate arrives when the incident ends, at the latest.
     pub fn max_transit(&self) -> Span {
-        let carries_requests = |one: &&Disturbance| one.to != Party::Discovery;
-        self.disturbances.iter().filter(carries_requests).fold(Span(0), |sum, one| {
-            let Faults { delay, jitter, cut, rate, .. } = one.there;
-            let held = if cut || rate > 0.0 { one.length } else { Span(0) };
-            sum + delay + jitter + held
+        let carries_requests = |incident: &&Disturbance| incident.to != Party::Discovery;
+        self.link_incidents.iter().filter(carries_requests).fold(Span(0), |sum, incident| {
+            let Faults { delay, jitter, cut, rate, .. } = incident.there;
+            let hold = if cut || rate > 0.0 { incident.length } else { Span(0) };
+            sum + delay + jitter + hold
         })
     }
 }
 
-/// Two sets of faults at once.
-fn both(a: Faults, b: Faults) -> Faults {
-    // 0 stands for no limit.
-    let least = |a: f64, b: f64| if a > 0.0 && b > 0.0 { a.min(b) } else { a.max(b) };
-    let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
+/// Combines two sets of faults that act on the same direction.
+fn combine(a: Faults, b: Faults) -> Faults {
+    // 0 means that there is no limit.
+    let smaller_limit = |a: f64, b: f64| if a > 0.0 && b > 0.0 { a.min(b) } else { a.max(b) };
+    let probability_of_either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
     Faults {
         delay: a.delay + b.delay,
         jitter: a.jitter + b.jitter,
         cut: a.cut || b.cut,
         refuse: a.refuse || b.refuse,
-        rate: least(a.rate, b.rate),
-        reset_at: least(a.reset_at, b.reset_at),
-        loss: either(a.loss, b.loss),
-        duplicate: either(a.duplicate, b.duplicate),
-        reorder: either(a.reorder, b.reorder),
+        rate: smaller_limit(a.rate, b.rate),
+        reset_at: smaller_limit(a.reset_at, b.reset_at),
+        loss: probability_of_either(a.loss, b.loss),
+        duplicate: probability_of_either(a.duplicate, b.duplicate),
+        reorder: probability_of_either(a.reorder, b.reorder),
     }
 }
 
-/// Who is meant, out of `of`, dealt out over the zones in turn.
-fn members(party: Party, of: usize, zones: usize) -> Vec<usize> {
+/// The members of a party by number, of `count` dispatchers or log workers. These are assigned to zones in turn.
+fn members(party: Party, count: usize, zones: usize) -> Vec<usize> {
     match party {
         Party::Clients | Party::Discovery => Vec::new(),
-        Party::Dispatchers(None) | Party::Workers(None) => (0..of).collect(),
+        Party::Dispatchers(None) | Party::Workers(None) => (0..count).collect(),
         Party::Dispatchers(Some(zone)) | Party::Workers(Some(zone)) => {
-            (0..of).filter(|number| number % zones == zone).collect()
+            (0..count).filter(|number| number % zones == zone).collect()
         }
         Party::Dispatcher(number) | Party::Worker(number) => vec![number],
     }
@@ -179,42 +196,48 @@
     use rookspoke_emulator::scenario::Stage;
     use rookspoke_emulator::script::read_text;
 
-    fn ways(text: &str) -> Routes {
-        let s = read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
-        Routes::new(&s, 1)
+    fn routes(text: &str) -> Routes {
+        let scenario =
+            read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
+        Routes::new(&scenario, 1)
     }
 
     #[test]
-    fn dispatchers_that_are_disturbed_alike_share_links() {
+    fn dispatchers_with_the_same_link_incidents_share_links() {
         let text = "dispatchers 30\nworkers 20\nincident zone-cut at 1s for 2s\n\
                     incident link at 3s for 1s from n4 to w7 delay 20ms\n\
                     incident link at 3s for 1s from n5 to discovery cut";
-        let ways = ways(text);
-        // Two zones, and one dispatcher of its own; the log worker that is far from it only is in the other zone too.
-        assert_eq!(ways.group_count(), 3);
+        let routes = routes(text);
+        // One group for each of the two zones, and n4 alone; log worker w7 is in the other zone, so n4 needs no more links
+        // than the groups do.
+        assert_eq!(routes.group_count(), 3);
         let to_workers =
-            ways.disturbances_by_route.keys().filter(|way| matches!(way, Route::Worker(..))).count();
-        assert_eq!((to_workers, ways.disturbances_by_route.len()), (10 + 10 + 10, 31));
+            routes.incidents_by_route.keys().filter(|route| matches!(route, Route::Worker(..))).count();
+        assert_eq!((to_workers, routes.incidents_by_route.len()), (10 + 10 + 10, 31));
     }
 
     #[test]
-    fn what_is_wrong_at_once_adds_up_and_ends_apart() {
+    fn the_faults_of_simultaneous_link_incidents_add_up_and_end_separately() {
         let text = "incident link at 1s for 2s from dispatchers to w0 delay 20ms loss 0.5\n\
                     incident link at 2s for 2s from n1 to workers delay 5ms rate 100 back cut";
-        let ways = ways(text);
-        let way = Route::Worker(ways.groups[1], 0);
-        let (there, back) = ways.faults(way, &[0, 1]);
-        assert_eq!((there.delay, there.rate, there.cut, back.cut), (Span(25_000), 100.0, false, true));
-        assert_eq!(ways.faults(way, &[1]).0.loss, 0.0);
-        assert_eq!(ways.faults(Route::Worker(ways.groups[0], 0), &[0, 1]).0.delay, Span(20_000));
-        assert_eq!(ways.faults(way, &[]), (Faults::default(), Faults::default()));
+        let routes = routes(text);
+        let route = Route::Worker(routes.groups[1], 0);
+        let (forward, backward) = routes.faults(route, &[0, 1]);
+        assert_eq!(
+            (forward.delay, forward.rate, forward.cut, backward.cut),
+            (Span(25_000), 100.0, false, true)
+        );
+        assert_eq!(routes.faults(route, &[1]).0.loss, 0.0);
+        assert_eq!(routes.faults(Route::Worker(routes.groups[0], 0), &[0, 1]).0.delay, Span(20_000));
+        assert_eq!(routes.faults(route, &[]), (Faults::default(), Faults::default()));
     }
 
     #[test]
-    fn a_part_is_drawn_by_the_seed() {
+    fn the_affected_part_is_drawn_from_the_seed() {
         let text = "workers 40\nincident link at 1s for 2s from dispatchers to workers part 0.25 cut";
-        let s = read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
-        let drawn = |seed| Routes::new(&s, seed).disturbances_by_route.into_keys().collect::<Vec<_>>();
+        let scenario =
+            read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
+        let drawn = |seed| Routes::new(&scenario, seed).incidents_by_route.into_keys().collect::<Vec<_>>();
         assert_eq!((drawn(1).len(), drawn(1) == drawn(1), drawn(1) == drawn(2)), (10, true, false));
     }
 }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -163,7 +163,7 @@
     pub async fn without_dispatchers(scenario: Scenario, options: Options) -> Result<Self, RigError> {
         let s = &scenario;
         let routes = Routes::new(s, options.seed);
-        check_capacity(s, routes.disturbances_by_route.len())?;
+        check_capacity(s, routes.incidents_by_route.len())?;
         let (places, supervisor) = (LoopbackAddresses::new(), Supervisor::start()?);
         let allowed = Tolerances {
             answer_slack: s.span("rules.answer-slack") + SOCKET_SLACK,
@@ -183,7 +183,7 @@
             listeners.push(listener);
         }
         let mut reached = vec![direct.clone(); routes.group_count()];
-        for (number, way) in routes.disturbances_by_route.keys().enumerate() {
+        for (number, way) in routes.incidents_by_route.keys().enumerate() {
             if let Route::Worker(group, worker) = *way {
                 let at = places.of(AddressKind::Link, number);
                 let link = open_link(at, direct[worker], options.seed, number).await?;
@@ -204,7 +204,7 @@
             let mut discovery = listener.local_addr()?;
             discovery_server.serve(number, listener);
             for way in [Route::Discovery(number), Route::Clients(number)] {
-                let Some(place) = routes.disturbances_by_route.keys().position(|other| *other == way) else {
+                let Some(place) = routes.incidents_by_route.keys().position(|other| *other == way) else {
                     continue;
                 };
                 let link =
@@ -334,7 +334,7 @@
             on.push(number);
         }
         for (way, link) in &self.links {
-            if self.routes.disturbances_by_route.get(way).is_some_and(|all| all.contains(&number)) {
+            if self.routes.incidents_by_route.get(way).is_some_and(|all| all.contains(&number)) {
                 let (there, back) = self.routes.faults(*way, &on);
                 link.control.set(there, back);
             }
@@ -376,7 +376,7 @@
                 rig.run_incident(number, &incident).await
             });
         }
-        for (number, one) in self.routes.disturbances.clone().into_iter().enumerate() {
+        for (number, one) in self.routes.link_incidents.clone().into_iter().enumerate() {
             let rig = self.clone();
             parts.spawn(async move {
                 rig.lateness.record(rig.event_log.clock().sleep_until(begin + one.at).await);
