--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,4 +1,4 @@
-//! A play: a scenario with real dispatchers, stand-ins for all that they meet, links, and judges.
+//! Runs a scenario with real dispatchers, stand-ins for their peers, links and invariant checks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,122 +32,122 @@
 use crate::supervisor::Supervisor;
 use crate::worker_pool::WorkerPool;
 
-/// The front notices that a dispatcher has died after this.
-const FRONT_NOTICES: Duration = Duration::from_secs(2);
-/// After SIGTERM clients still come for this long.
-const STILL_COME: Duration = Duration::from_millis(300);
-/// A deadline counts as this long at most where SIGKILL follows SIGTERM.
-const LONGEST_COUNTED_MS: f64 = 3_000.0;
-/// From the end of the longest deadline to SIGKILL.
+/// Time after which the front removes a killed dispatcher from rotation.
+const FRONT_DETECTION_TIME: Duration = Duration::from_secs(2);
+/// Time after SIGTERM for which the front still assigns clients to the dispatcher.
+const ROTATION_REMOVAL_DELAY: Duration = Duration::from_millis(300);
+/// Upper limit of the deadline that counts towards the time between SIGTERM and SIGKILL.
+const MAX_KILL_DEADLINE_MS: f64 = 3_000.0;
+/// Added to the longest deadline for the time between SIGTERM and SIGKILL.
 const KILL_ALLOWANCE: Duration = Duration::from_millis(700);
-/// Dispatchers that start at once.
-const START_TOGETHER: usize = 16;
-/// Turns of a dispatcher that is slowed.
-const TURN: Duration = Duration::from_millis(100);
-/// The most sentences of a report about what broke.
-const SENTENCES: usize = 5;
-/// From the last process's readiness to the first job.
-const LEAD: Span = Span(300_000);
-/// The rig's own timers may be late by this much, and a play still counts.
+/// Number of dispatchers that are started at the same time.
+const START_BATCH: usize = 16;
+/// Period at which a slowed dispatcher is suspended and continued.
+const THROTTLE_PERIOD: Duration = Duration::from_millis(100);
+/// Maximum number of violations that a report describes.
+const MAX_DESCRIBED_VIOLATIONS: usize = 5;
+/// Time from the call of `run` to the start of the scenario.
+const START_DELAY: Span = Span(300_000);
+/// Maximum 99th percentile of the lateness of the rig's timers, in milliseconds; above it a run is void.
 pub const MAX_LATENESS_P99_MS: f64 = 20.0;
 
-/// What a play needs beside its scenario.
+/// Options of a run that are not part of its scenario.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The dispatcher's program.
+    /// Path of the dispatcher's program.
     pub program: PathBuf,
-    /// For every draw.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long a dispatcher may take to be ready.
+    /// Timeout for a dispatcher to listen, and again for it to become ready.
     pub start_timeout: Duration,
-    /// System calls of the dispatchers that fail.
+    /// System call failures that are injected into the dispatchers, if any.
     pub faults: Option<FaultInjection>,
 }
 
-/// A play that could not be.
+/// A rig could not be started.
 #[derive(Debug, Error)]
 pub enum RigError {
-    /// There is not enough room for it.
+    /// The machine lacks descriptors or addresses for the scenario.
     #[error("{0}")]
     Capacity(#[from] CapacityError),
-    /// A dispatcher did not come up.
+    /// A dispatcher did not become ready.
     #[error("{0}")]
     Start(#[from] StartError),
-    /// A stand-in could not be started.
-    #[error("the rig cannot start: {0}")]
+    /// A stand-in, a link, the supervisor or a dispatcher's folder could not be set up.
+    #[error("cannot set up the rig: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// What a play proves.
+/// The result of the invariant checks of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// All that was judged held.
+    /// All invariants held.
     Kept,
-    /// Something did not.
+    /// An invariant was violated.
     Broken,
-    /// The rig itself ran too late for its verdict to mean anything.
+    /// The rig's own timers fired too late for a verdict.
     Void,
 }
 
-/// What a play came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// What it proves.
+    /// The result of the invariant checks.
     pub verdict: Verdict,
-    /// What the emulator would say of it: the same figures, counted from sockets.
+    /// The figures that the emulator reports for a run, measured here on sockets.
     pub report: Report,
-    /// Time until every dispatcher was ready, in seconds.
+    /// Time from the start until every dispatcher was ready, in seconds.
     pub ready_s: f64,
-    /// Mean memory of a dispatcher at the end, KiB.
+    /// Mean resident memory of a dispatcher at the end of the run, in KiB.
     pub memory_kb: u64,
-    /// Processor time of all dispatchers, in seconds.
+    /// Total processor time of the dispatchers that run at the end, in seconds.
     pub cpu_s: f64,
-    /// How late the rig ran.
+    /// Lateness of the rig's own timers.
     pub lateness: LatenessSummary,
-    /// What broke.
+    /// Violated invariants, in order of time.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
 
-/// A rig that is up: dispatchers, stand-ins and links.
+/// A running rig: dispatchers, stand-ins and links. Dropping it ends its processes.
 pub struct Rig {
-    /// What is played.
+    /// The scenario that the rig was built for.
     pub scenario: Scenario,
-    /// The dispatchers, by number.
+    /// The dispatchers, indexed by number.
     pub dispatchers: Vec<Arc<Dispatcher>>,
-    /// The log workers.
+    /// The stand-ins for log workers.
     pub worker_pool: WorkerPool,
-    /// Discovery.
+    /// The stand-in for discovery.
     pub discovery_server: DiscoveryServer,
-    /// The clients.
+    /// The stand-in for clients.
     pub load_generator: LoadGenerator,
-    /// What sees and judges.
+    /// The log that all parts record to, with the invariant checks.
     pub event_log: EventLog,
-    /// How late the rig runs.
+    /// Lateness of the rig's own timers.
     pub lateness: Lateness,
     backends: Arc<Vec<Backend>>,
     links: BTreeMap<Route, TcpLink>,
     routes: Routes,
-    /// Disturbances that are on.
-    on: Mutex<Vec<usize>>,
+    /// Indices of the link incidents that are active.
+    active_link_incidents: Mutex<Vec<usize>>,
     options: Options,
     ready_s: f64,
-    beat: AbortHandle,
+    lateness_monitor: AbortHandle,
     _supervisor: Arc<Supervisor>,
 }
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        self.beat.abort();
+        self.lateness_monitor.abort();
     }
 }
 
 impl Rig {
-    /// Starts all of it, and waits until every dispatcher is ready.
+    /// Starts the stand-ins, links and dispatchers, and waits until every dispatcher is ready.
     ///
     /// # Errors
-    /// There is no room, or something does not come up; what was started is cleared away.
+    /// The machine lacks capacity, or a part cannot be started. Parts that were started are cleaned up.
     pub async fn start(scenario: Scenario, options: Options) -> Result<Arc<Self>, RigError> {
         let mut rig = Self::without_dispatchers(scenario, options).await?;
         let start = Instant::now();
@@ -156,117 +156,140 @@
         Ok(Arc::new(rig))
     }
 
-    /// Starts all but the dispatchers: their configurations are there for whoever starts them.
+    /// Starts the stand-ins and links only. Dispatchers have their configurations, but no processes.
     ///
     /// # Errors
-    /// There is no room, or a stand-in does not come up.
+    /// The machine lacks capacity, or a part cannot be started.
     pub async fn without_dispatchers(scenario: Scenario, options: Options) -> Result<Self, RigError> {
-        let s = &scenario;
-        let routes = Routes::new(s, options.seed);
-        check_capacity(s, routes.incidents_by_route.len())?;
-        let (places, supervisor) = (LoopbackAddresses::new(), Supervisor::start()?);
-        let allowed = Tolerances {
-            answer_slack: s.span("rules.answer-slack") + SOCKET_SLACK,
-            drain_grace: s.span("rules.drain-grace") + SOCKET_SLACK + routes.max_drain_delay(),
+        let routes = Routes::new(&scenario, options.seed);
+        check_capacity(&scenario, routes.incidents_by_route.len())?;
+        let (addresses, supervisor) = (LoopbackAddresses::new(), Supervisor::start()?);
+        let tolerances = Tolerances {
+            answer_slack: scenario.span("rules.answer-slack") + SOCKET_SLACK,
+            drain_grace: scenario.span("rules.drain-grace") + SOCKET_SLACK + routes.max_drain_delay(),
             transit: SOCKET_SLACK + routes.max_transit(),
         };
         let lateness = Lateness::default();
-        let event_log = EventLog::new(Clock::starting_in(Duration::ZERO), all_invariants(allowed));
-        let beat = tokio::spawn(lateness.clone().monitor(event_log.clock())).abort_handle();
+        let event_log = EventLog::new(Clock::starting_in(Duration::ZERO), all_invariants(tolerances));
+        let lateness_monitor = tokio::spawn(lateness.clone().monitor(event_log.clock())).abort_handle();
 
-        // Log workers, and the routes to them.
+        // Log workers, and the links to them.
         let mut links: BTreeMap<Route, TcpLink> = BTreeMap::new();
-        let (mut listeners, mut direct) = (Vec::new(), Vec::new());
-        for worker in 0..s.count("workers") {
-            let listener = TcpListener::bind(places.of(AddressKind::Worker, worker)).await?;
-            direct.push(listener.local_addr()?);
+        let (mut listeners, mut direct_addresses) = (Vec::new(), Vec::new());
+        for worker in 0..scenario.count("workers") {
+            let listener = TcpListener::bind(addresses.of(AddressKind::Worker, worker)).await?;
+            direct_addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        let mut reached = vec![direct.clone(); routes.group_count()];
-        for (number, way) in routes.incidents_by_route.keys().enumerate() {
-            if let Route::Worker(group, worker) = *way {
-                let at = places.of(AddressKind::Link, number);
-                let link = open_link(at, direct[worker], options.seed, number).await?;
-                reached[group][worker] = link.address;
-                links.insert(*way, link);
+        let mut worker_addresses = vec![direct_addresses.clone(); routes.group_count()];
+        for (number, route) in routes.incidents_by_route.keys().enumerate() {
+            if let Route::Worker(group, worker) = *route {
+                let listen = addresses.of(AddressKind::Link, number);
+                let link = open_link(listen, direct_addresses[worker], options.seed, number).await?;
+                worker_addresses[group][worker] = link.address;
+                links.insert(*route, link);
             }
         }
-        let discovery_server =
-            DiscoveryServer::new(s, options.seed, event_log.clone(), reached, routes.groups.clone());
-        let (to_registry, to_watch) = (discovery_server.clone(), event_log.clone());
-        let worker_pool =
-            WorkerPool::start(s, options.seed, listeners, to_registry, to_watch, lateness.clone()).await?;
-
-        // Dispatchers, and the routes between them, discovery and clients.
+        let discovery_server = DiscoveryServer::new(
+            &scenario,
+            options.seed,
+            event_log.clone(),
+            worker_addresses,
+            routes.groups.clone(),
+        );
+        let worker_pool = WorkerPool::start(
+            &scenario,
+            options.seed,
+            listeners,
+            discovery_server.clone(),
+            event_log.clone(),
+            lateness.clone(),
+        )
+        .await?;
+
+        // Dispatchers, and their links to discovery and from clients.
         let (mut dispatchers, mut backends) = (Vec::new(), Vec::new());
-        for number in 0..s.count("dispatchers") {
-            let listener = TcpListener::bind(places.of(AddressKind::Discovery, number)).await?;
+        for number in 0..scenario.count("dispatchers") {
+            let listener = TcpListener::bind(addresses.of(AddressKind::Discovery, number)).await?;
             let mut discovery = listener.local_addr()?;
             discovery_server.serve(number, listener);
-            for way in [Route::Discovery(number), Route::Clients(number)] {
-                let Some(place) = routes.incidents_by_route.keys().position(|other| *other == way) else {
+            for route in [Route::Discovery(number), Route::Clients(number)] {
+                let Some(link_number) = routes.incidents_by_route.keys().position(|other| *other == route)
+                else {
                     continue;
                 };
-                let link =
-                    open_link(places.of(AddressKind::Link, place), discovery, options.seed, place).await?;
-                if way == Route::Discovery(number) {
+                let link = open_link(
+                    addresses.of(AddressKind::Link, link_number),
+                    discovery,
+                    options.seed,
+                    link_number,
+                )
+                .await?;
+                if route == Route::Discovery(number) {
                     discovery = link.address;
                 }
-                links.insert(way, link);
+                links.insert(route, link);
             }
             let own_seed = stream(options.seed, Stream::Policy, number as u64).random();
-            let mut told = platform_config(
-                s,
+            let mut config = platform_config(
+                &scenario,
                 number,
-                places.of(AddressKind::Dispatcher, number).ip(),
+                addresses.of(AddressKind::Dispatcher, number).ip(),
                 discovery,
                 own_seed,
             );
-            told["known"] = discovery_server.snapshot(number);
-            let dispatcher = Dispatcher::new(&supervisor, &options.program, number, told, event_log.clone())?
-                .with_faults(options.faults.clone());
+            config["known"] = discovery_server.snapshot(number);
+            let dispatcher =
+                Dispatcher::new(&supervisor, &options.program, number, config, event_log.clone())?
+                    .with_faults(options.faults.clone());
             dispatchers.push(Arc::new(dispatcher));
             backends.push(Backend::new());
         }
         let backends = Arc::new(backends);
-        let load = LoadGenerator::new(s, options.seed, backends.clone(), event_log.clone(), lateness.clone());
+        let load_generator = LoadGenerator::new(
+            &scenario,
+            options.seed,
+            backends.clone(),
+            event_log.clone(),
+            lateness.clone(),
+        );
         Ok(Rig {
             scenario,
             dispatchers,
             worker_pool,
             discovery_server,
-            load_generator: load,
+            load_generator,
             event_log,
             lateness,
             backends,
             links,
             routes,
-            on: Mutex::default(),
+            active_link_incidents: Mutex::default(),
             options,
             ready_s: 0.0,
-            beat,
+            lateness_monitor,
             _supervisor: supervisor,
         })
     }
 
     async fn start_all(&self) -> Result<(), StartError> {
-        for some in self.dispatchers.chunks(START_TOGETHER) {
+        for batch in self.dispatchers.chunks(START_BATCH) {
             let mut starts = JoinSet::new();
-            for dispatcher in some {
-                let (dispatcher, patience) = (dispatcher.clone(), self.options.start_timeout);
+            for dispatcher in batch {
+                let (dispatcher, timeout) = (dispatcher.clone(), self.options.start_timeout);
                 starts.spawn(async move {
-                    dispatcher.start(patience).await?;
-                    dispatcher.wait_until_ready(patience).await
+                    dispatcher.start(timeout).await?;
+                    dispatcher.wait_until_ready(timeout).await
                 });
             }
-            all_joined(starts).await?;
+            join_all(starts).await?;
         }
-        self.dispatchers.iter().for_each(|dispatcher| self.takes_in(dispatcher));
+        self.dispatchers.iter().for_each(|dispatcher| self.add_to_rotation(dispatcher));
         Ok(())
     }
 
-    /// The front takes a dispatcher in.
-    fn takes_in(&self, dispatcher: &Dispatcher) {
+    /// Makes the front assign clients to a dispatcher, through its link if it has one.
+    fn add_to_rotation(&self, dispatcher: &Dispatcher) {
         let Some(address) = dispatcher.client_address() else { return };
         let link = self.links.get(&Route::Clients(dispatcher.number));
         if let Some(link) = link {
@@ -275,83 +298,86 @@
         self.backends[dispatcher.number].add_to_rotation(link.map_or(address, |link| link.address));
     }
 
-    /// Starts a dispatcher again under its name, with the list as discovery has it now.
+    /// Starts a new process of a dispatcher, with the present list of discovery in its configuration.
     ///
     /// # Errors
-    /// It does not come up.
+    /// The dispatcher does not become ready.
     pub async fn restart_dispatcher(&self, number: usize) -> Result<(), StartError> {
         let dispatcher = &self.dispatchers[number];
         dispatcher.config()["known"] = self.discovery_server.snapshot(number);
         self.discovery_server.forget_dispatcher(number);
         dispatcher.start(self.options.start_timeout).await?;
         dispatcher.wait_until_ready(self.options.start_timeout).await?;
-        self.takes_in(dispatcher);
+        self.add_to_rotation(dispatcher);
         Ok(())
     }
 
-    /// Kills a dispatcher. The front notices later.
+    /// Kills a dispatcher. The front removes it from rotation 2 s later, unless it runs again by then.
     pub async fn kill_dispatcher(self: &Arc<Self>, number: usize) {
         self.dispatchers[number].kill().await;
         self.backends[number].process_ended();
         let rig = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(FRONT_NOTICES).await;
+            tokio::time::sleep(FRONT_DETECTION_TIME).await;
             if rig.dispatchers[number].pid().await.is_none() {
                 rig.backends[number].in_rotation.store(false, Ordering::Relaxed);
             }
         });
     }
 
-    /// Tells a dispatcher to end as the platform does, and waits for it.
+    /// Shuts a dispatcher down as the platform does: SIGTERM, then SIGKILL if it does not exit in time. Returns whether it
+    /// exited by itself.
     pub async fn terminate_dispatcher(&self, number: usize) -> bool {
         let classes = &self.scenario.classes;
-        let longest = classes.iter().map(|class| class.get("deadline")).fold(0.0, f64::max);
-        let patience = Duration::from_secs_f64(longest.min(LONGEST_COUNTED_MS) / 1000.0) + KILL_ALLOWANCE;
+        let longest_deadline_ms = classes.iter().map(|class| class.get("deadline")).fold(0.0, f64::max);
+        let timeout =
+            Duration::from_secs_f64(longest_deadline_ms.min(MAX_KILL_DEADLINE_MS) / 1000.0) + KILL_ALLOWANCE;
         let dispatcher = self.dispatchers[number].clone();
-        let ends = tokio::spawn(async move { dispatcher.terminate(patience).await });
-        tokio::time::sleep(STILL_COME).await;
+        let termination = tokio::spawn(async move { dispatcher.terminate(timeout).await });
+        tokio::time::sleep(ROTATION_REMOVAL_DELAY).await;
         self.backends[number].in_rotation.store(false, Ordering::Relaxed);
-        let ended = ends.await.unwrap_or(false);
+        let exited = termination.await.unwrap_or(false);
         self.backends[number].process_ended();
-        ended
+        exited
     }
 
-    /// The control of a way's link, if the way has one.
-    pub fn link(&self, way: Route) -> Option<&LinkControl> {
-        self.links.get(&way).map(|link| &link.control)
+    /// The control of a route's link, if the route leads through one.
+    pub fn link(&self, route: Route) -> Option<&LinkControl> {
+        self.links.get(&route).map(|link| &link.control)
     }
 
-    /// Routes of a dispatcher to log workers belong to its group.
+    /// The route from a dispatcher, as a member of its group, to a log worker.
     pub fn route_to_worker(&self, dispatcher: usize, worker: usize) -> Route {
         Route::Worker(self.routes.groups[dispatcher], worker)
     }
 
-    /// Turns a disturbance on or off.
-    fn disturb(&self, number: usize, is_on: bool) {
-        let mut on = self.on.lock().unwrap_or_else(PoisonError::into_inner);
-        on.retain(|other| *other != number);
-        if is_on {
-            on.push(number);
+    /// Begins or ends a link incident: updates the faults of all links that it affects.
+    fn set_link_incident(&self, number: usize, begins: bool) {
+        let mut active = self.active_link_incidents.lock().unwrap_or_else(PoisonError::into_inner);
+        active.retain(|other| *other != number);
+        if begins {
+            active.push(number);
         }
-        for (way, link) in &self.links {
-            if self.routes.incidents_by_route.get(way).is_some_and(|all| all.contains(&number)) {
-                let (there, back) = self.routes.faults(*way, &on);
-                link.control.set(there, back);
+        for (route, link) in &self.links {
+            if self.routes.incidents_by_route.get(route).is_some_and(|incidents| incidents.contains(&number))
+            {
+                let (forward, backward) = self.routes.faults(*route, &active);
+                link.control.set(forward, backward);
             }
         }
-        let what = if is_on { "begins" } else { "is healed" };
-        self.says(format!("link {number} {what}"));
+        let change = if begins { "begins" } else { "ends" };
+        self.record_script(format!("link incident {number} {change}"));
     }
 
-    fn says(&self, what: String) {
-        self.event_log.record(Event::Script { text: what });
+    fn record_script(&self, text: String) {
+        self.event_log.record(Event::Script { text });
     }
 
-    /// What clients will send: the emulator's own draw, dear jobs included.
+    /// The jobs that clients will send, drawn as in the emulator, with the additional work of `costly` incidents.
     pub fn arrivals(&self) -> Vec<Arrival> {
-        let (s, seed) = (&self.scenario, self.options.seed);
-        let mut all = arrivals(s, seed, &mut stream(seed, Stream::Clients, 0));
-        for incident in s.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
+        let (scenario, seed) = (&self.scenario, self.options.seed);
+        let mut all = arrivals(scenario, seed, &mut stream(seed, Stream::Clients, 0));
+        for incident in scenario.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
             for (number, arrival) in all.iter_mut().enumerate() {
                 if is_costly(seed, number, arrival.asked, incident) {
                     arrival.work *= incident.size;
@@ -361,69 +387,70 @@
         all
     }
 
-    /// Plays the script under load, to the last answer.
+    /// Runs the scenario: generates the load and injects the incidents, until the last response.
     ///
     /// # Errors
-    /// A dispatcher that was to start again did not.
+    /// An incident could not restart a dispatcher.
     pub async fn run(self: &Arc<Self>) -> Result<(), StartError> {
-        let begin = self.event_log.clock().now() + LEAD;
+        let begin = self.event_log.clock().now() + START_DELAY;
         self.event_log.set_start(begin);
-        let mut parts: JoinSet<Result<(), StartError>> = JoinSet::new();
+        let mut incidents: JoinSet<Result<(), StartError>> = JoinSet::new();
         for (number, incident) in self.scenario.incidents.clone().into_iter().enumerate() {
             let rig = self.clone();
-            parts.spawn(async move {
+            incidents.spawn(async move {
                 rig.lateness.record(rig.event_log.clock().sleep_until(begin + incident.at).await);
                 rig.run_incident(number, &incident).await
             });
         }
-        for (number, one) in self.routes.link_incidents.clone().into_iter().enumerate() {
+        for (number, incident) in self.routes.link_incidents.clone().into_iter().enumerate() {
             let rig = self.clone();
-            parts.spawn(async move {
-                rig.lateness.record(rig.event_log.clock().sleep_until(begin + one.at).await);
-                rig.disturb(number, true);
-                rig.event_log.clock().sleep_until(begin + one.at + one.length).await;
-                rig.disturb(number, false);
+            incidents.spawn(async move {
+                rig.lateness.record(rig.event_log.clock().sleep_until(begin + incident.at).await);
+                rig.set_link_incident(number, true);
+                rig.event_log.clock().sleep_until(begin + incident.at + incident.length).await;
+                rig.set_link_incident(number, false);
                 Ok(())
             });
         }
         self.load_generator.run(begin, &self.arrivals()).await;
-        all_joined(parts).await
+        join_all(incidents).await
     }
 
-    /// Plays one incident now, to its end. Whom it hits is drawn by its number.
+    /// Injects one incident now and waits for its end. The affected parties are drawn from its number.
     ///
     /// # Errors
-    /// A dispatcher that was to start again did not.
+    /// A dispatcher could not be restarted.
     pub async fn run_incident(
         self: &Arc<Self>,
         number: usize,
         incident: &Incident,
     ) -> Result<(), StartError> {
         let Incident { trouble, size, length, part, .. } = *incident;
-        let of_dispatchers =
+        let affects_dispatchers =
             matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
-        let of = if of_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
-        let all = hit(self.options.seed, number, part, of);
-        self.says(format!("incident {number}, {trouble:?}, begins"));
-        let lasts = lasting(length);
+        let party_count =
+            if affects_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
+        let affected = hit(self.options.seed, number, part, party_count);
+        self.record_script(format!("incident {number} ({trouble:?}) begins"));
+        let until_end = sleep_for(length);
         match trouble {
             Trouble::Crash | Trouble::Silent => {
-                self.worker_pool.crash(&all, trouble == Trouble::Silent);
-                lasts.await;
-                self.worker_pool.restart(&all);
+                self.worker_pool.crash(&affected, trouble == Trouble::Silent);
+                until_end.await;
+                self.worker_pool.restart(&affected);
             }
             Trouble::Rolling => {
-                let step = Span(length.0 / all.len().max(1) as i64);
+                let interval = Span(length.0 / affected.len().max(1) as i64);
                 let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
-                for (turn, worker) in all.into_iter().enumerate() {
+                for (turn, worker) in affected.into_iter().enumerate() {
                     let rig = self.clone();
                     turns.spawn(async move {
-                        rig.event_log.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
+                        rig.event_log.clock().sleep_until(begin + Span(interval.0 * turn as i64)).await;
                         rig.worker_pool.drain(worker);
-                        lasting(Span::from_ms(size * 1000.0)).await;
+                        sleep_for(Span::from_ms(size * 1000.0)).await;
                         if rig.worker_pool.stop(worker, false) {
-                            lasting(Span(1_000_000)).await;
+                            sleep_for(Span(1_000_000)).await;
                             rig.worker_pool.restart(&[worker]);
                         }
                     });
@@ -431,112 +458,113 @@
                 while turns.join_next().await.is_some() {}
             }
             Trouble::Slow => {
-                self.worker_pool.update_workers(&all, |worker| worker.slow *= size.max(1e-3));
-                lasts.await;
-                self.worker_pool.update_workers(&all, |worker| worker.slow /= size.max(1e-3));
+                self.worker_pool.update_workers(&affected, |worker| worker.slow *= size.max(1e-3));
+                until_end.await;
+                self.worker_pool.update_workers(&affected, |worker| worker.slow /= size.max(1e-3));
             }
             Trouble::Neighbour => {
                 let end = self.event_log.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
                 while self.event_log.clock().now() < end {
-                    self.worker_pool.update_workers(&all, |worker| worker.taken = taken);
+                    self.worker_pool.update_workers(&affected, |worker| worker.taken = taken);
                     taken = if taken > 0.0 { 0.0 } else { size.clamp(0.0, 0.99) };
-                    lasting(Span(1_000_000)).await;
+                    sleep_for(Span(1_000_000)).await;
                 }
-                self.worker_pool.update_workers(&all, |worker| worker.taken = 0.0);
+                self.worker_pool.update_workers(&affected, |worker| worker.taken = 0.0);
             }
             Trouble::Pause => {
-                self.worker_pool.update_workers(&all, |worker| worker.paused = true);
-                lasts.await;
-                self.worker_pool.update_workers(&all, |worker| worker.paused = false);
+                self.worker_pool.update_workers(&affected, |worker| worker.paused = true);
+                until_end.await;
+                self.worker_pool.update_workers(&affected, |worker| worker.paused = false);
             }
             Trouble::ReportsLate => {
-                let later = Span::from_ms(size * 1000.0);
-                self.worker_pool.delay_reports(later);
-                lasts.await;
-                self.worker_pool.delay_reports(Span(-later.0));
+                let added_delay = Span::from_ms(size * 1000.0);
+                self.worker_pool.delay_reports(added_delay);
+                until_end.await;
+                self.worker_pool.delay_reports(Span(-added_delay.0));
             }
             Trouble::Resets => {
                 let mut rng = stream(self.options.seed, Stream::Network, number as u64);
                 let end = self.event_log.clock().now() + length;
                 while self.event_log.clock().now() < end {
-                    lasting(Span(100_000)).await;
+                    sleep_for(Span(100_000)).await;
                     self.worker_pool.reset_connections(size / 10.0, &mut rng);
                 }
             }
-            // Jobs are dear from the start; cut zones are links.
-            Trouble::Costly | Trouble::ZoneCut => lasts.await,
+            // The jobs of a `costly` incident were drawn before the start; a `zone-cut` is a set of link incidents.
+            Trouble::Costly | Trouble::ZoneCut => until_end.await,
             Trouble::DiscoveryGone | Trouble::DiscoverySilent | Trouble::DiscoveryOld => {
                 self.discovery_server.set_mode(match trouble {
                     Trouble::DiscoverySilent => DiscoveryMode::Silent,
                     Trouble::DiscoveryOld => DiscoveryMode::Stale,
                     _ => DiscoveryMode::Refusing,
                 });
-                lasts.await;
+                until_end.await;
                 self.discovery_server.set_mode(DiscoveryMode::Normal);
             }
             Trouble::HostPause => {
-                for number in &all {
+                for number in &affected {
                     self.dispatchers[*number].suspend().await;
                 }
-                lasts.await;
-                for number in &all {
+                until_end.await;
+                for number in &affected {
                     self.dispatchers[*number].resume().await;
                 }
             }
             Trouble::Slowed => {
                 let length = duration(length);
-                let mut slow = JoinSet::new();
-                for number in all {
+                let mut throttled = JoinSet::new();
+                for number in affected {
                     let dispatcher = self.dispatchers[number].clone();
-                    slow.spawn(async move { dispatcher.throttle(size, TURN, length).await });
+                    throttled.spawn(async move { dispatcher.throttle(size, THROTTLE_PERIOD, length).await });
                 }
-                while slow.join_next().await.is_some() {}
+                while throttled.join_next().await.is_some() {}
             }
             Trouble::Kill => {
-                for number in &all {
+                for number in &affected {
                     self.kill_dispatcher(*number).await;
                 }
-                lasts.await;
-                self.again(all).await?;
+                until_end.await;
+                self.restart_dispatchers(affected).await?;
             }
             Trouble::Restart => {
-                let step = Span(length.0 / all.len().max(1) as i64);
+                let interval = Span(length.0 / affected.len().max(1) as i64);
                 let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
-                for (turn, number) in all.into_iter().enumerate() {
+                for (turn, number) in affected.into_iter().enumerate() {
                     let rig = self.clone();
                     turns.spawn(async move {
-                        rig.event_log.clock().sleep_until(begin + Span(step.0 * turn as i64)).await;
+                        rig.event_log.clock().sleep_until(begin + Span(interval.0 * turn as i64)).await;
                         rig.terminate_dispatcher(number).await;
                         rig.restart_dispatcher(number).await
                     });
                 }
-                all_joined(turns).await?;
+                join_all(turns).await?;
             }
         }
-        self.says(format!("incident {number}, {trouble:?}, is over"));
+        self.record_script(format!("incident {number} ({trouble:?}) ends"));
         Ok(())
     }
 
-    /// Starts these again, all at once.
-    async fn again(self: &Arc<Self>, all: Vec<usize>) -> Result<(), StartError> {
+    /// Starts new processes of these dispatchers concurrently.
+    async fn restart_dispatchers(self: &Arc<Self>, affected: Vec<usize>) -> Result<(), StartError> {
         let mut starts = JoinSet::new();
-        for number in all {
+        for number in affected {
             let rig = self.clone();
             starts.spawn(async move { rig.restart_dispatcher(number).await });
         }
-        all_joined(starts).await
+        join_all(starts).await
     }
 
-    /// How often system calls of all dispatchers were made to fail.
+    /// Number of system call failures that were injected into all dispatchers.
     pub fn injected_faults(&self) -> usize {
         self.dispatchers.iter().map(|dispatcher| dispatcher.injected_faults()).sum()
     }
 
-    /// Holds each dispatcher's own figures against what was seen, closes the books, and says what it came to.
+    /// Ends the run: compares each dispatcher's counters with the rig's, finishes the invariant checks and computes the
+    /// result.
     pub async fn outcome(&self) -> Outcome {
-        let (mut memory, mut count, mut cpu_s) = (0, 0, 0.0);
+        let (mut memory_kb, mut measured, mut cpu_s) = (0, 0, 0.0);
         for dispatcher in &self.dispatchers {
             let number = dispatcher.number;
             if dispatcher.has_crashed().await {
@@ -544,17 +572,17 @@
                 continue;
             }
             if let Some((kb, seconds)) = dispatcher.usage().await {
-                (memory, count, cpu_s) = (memory + kb, count + 1, cpu_s + seconds);
+                (memory_kb, measured, cpu_s) = (memory_kb + kb, measured + 1, cpu_s + seconds);
             }
-            if let (Some(counted), Some(figures)) =
+            if let (Some(counted), Some(counters)) =
                 (self.backends[number].served(), dispatcher.counters().await)
             {
-                let passed = figures.iter().filter(|(name, _)| name.starts_with("passed."));
-                let says = passed.map(|(_, value)| value).sum();
+                let passed = counters.iter().filter(|(name, _)| name.starts_with("passed."));
+                let reported = passed.map(|(_, value)| value).sum();
                 self.event_log.record(Event::CounterCheck {
                     dispatcher: number,
                     name: "passed",
-                    reported: says,
+                    reported,
                     counted,
                 });
             }
@@ -566,7 +594,7 @@
         let verdict = match violations.is_empty() {
             _ if lateness.p99_ms > MAX_LATENESS_P99_MS => Verdict::Void,
             true => Verdict::Kept,
-            // What the rig did not do in time may be what broke.
+            // The rig's own delay may have caused the violation.
             false if lateness.max_ms > slack_ms => Verdict::Void,
             false => Verdict::Broken,
         };
@@ -574,28 +602,30 @@
             verdict,
             report: self.report(&violations),
             ready_s: self.ready_s,
-            memory_kb: memory / count.max(1),
+            memory_kb: memory_kb / measured.max(1),
             cpu_s,
             lateness,
             violations,
         }
     }
 
-    /// The figures that the emulator gives of a run, from what was seen here.
+    /// Computes the emulator's report from the measurements of this run.
     fn report(&self, violations: &[Violation]) -> Report {
         let counted = self.load_generator.counts();
         let score = Score::of(&self.scenario, &counted.jobs);
-        let classes = self.scenario.classes.iter().enumerate().map(|(class, one)| ClassReport {
-            name: one.name.clone(),
+        let classes = self.scenario.classes.iter().enumerate().map(|(class, settings)| ClassReport {
+            name: settings.name.clone(),
             jobs: counted.jobs.iter().filter(|job| job.class == class).count(),
             late: counted.late[class],
             service: score.classes[class],
         });
-        let quantile = |q: f64| counted.latency.value_at_quantile(q) as f64 / 1000.0;
-        let seen = |of: fn(&Event) -> bool| self.event_log.count(of) as u64;
+        let quantile_ms = |quantile: f64| counted.latency.value_at_quantile(quantile) as f64 / 1000.0;
+        let count_events = |matches: fn(&Event) -> bool| self.event_log.count(matches) as u64;
         let mut rules: BTreeMap<String, u64> = RULES.iter().map(|rule| (rule.name().to_owned(), 0)).collect();
         violations.iter().for_each(|violation| *rules.entry(violation.rule.clone()).or_default() += 1);
-        let sentence = |b: &Violation| format!("{:.3} s: {}: {}", b.at_ms / 1000.0, b.rule, b.description);
+        let describe = |violation: &Violation| {
+            format!("{:.3} s: {}: {}", violation.at_ms / 1000.0, violation.rule, violation.description)
+        };
         Report {
             policy: "processes".into(),
             seed: self.options.seed,
@@ -610,65 +640,70 @@
             refused: counted.refused,
             failed: counted.failed,
             retries: counted.retries,
-            sent: seen(|seen| matches!(seen, Event::Reached { .. })),
-            turned_away: seen(|seen| matches!(seen, Event::TurnedAway { .. })),
-            broken_connections: seen(|seen| {
-                matches!(seen, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. })
+            sent: count_events(|event| matches!(event, Event::Reached { .. })),
+            turned_away: count_events(|event| matches!(event, Event::TurnedAway { .. })),
+            broken_connections: count_events(|event| {
+                matches!(event, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. })
             }),
-            cross_zone: seen_across(&self.event_log, self.scenario.count("zones")),
+            cross_zone: cross_zone_requests(&self.event_log, self.scenario.count("zones")),
             openings: self.worker_pool.connections_opened(),
             probes: self.worker_pool.probes(),
             fetches: self.worker_pool.fetches(),
-            starts: seen(|seen| matches!(seen, Event::Started { .. })),
-            falls: seen(|seen| matches!(seen, Event::Overloaded { .. })),
+            starts: count_events(|event| matches!(event, Event::Started { .. })),
+            falls: count_events(|event| matches!(event, Event::Overloaded { .. })),
             mean_ms: counted.latency.mean() / 1000.0,
-            p50_ms: quantile(0.5),
-            p99_ms: quantile(0.99),
+            p50_ms: quantile_ms(0.5),
+            p99_ms: quantile_ms(0.99),
             spread: spread(&self.worker_pool.busy_seconds()),
             rules,
-            first_broken: violations.iter().take(SENTENCES).map(sentence).collect(),
+            first_broken: violations.iter().take(MAX_DESCRIBED_VIOLATIONS).map(describe).collect(),
         }
     }
 
-    /// Dispatchers that clients are dealt out to at present.
+    /// Number of dispatchers that the front assigns clients to at present.
     pub fn dispatchers_in_rotation(&self) -> usize {
-        self.backends.iter().filter(|seat| seat.in_rotation.load(Ordering::Relaxed)).count()
+        self.backends.iter().filter(|backend| backend.in_rotation.load(Ordering::Relaxed)).count()
     }
 
-    /// Clients reach a dispatcher there from now on.
-    pub fn redirect_clients(&self, number: usize, to: SocketAddr) {
-        self.backends[number].add_to_rotation(to);
+    /// Sends the clients of a dispatcher to another address from now on.
+    pub fn redirect_clients(&self, number: usize, address: SocketAddr) {
+        self.backends[number].add_to_rotation(address);
     }
 }
 
-/// Requests that reached a log worker of another zone.
-fn seen_across(event_log: &EventLog, zones: usize) -> u64 {
-    let across = |seen: &Event| match seen {
+/// Number of requests that arrived at a log worker in another zone than their dispatcher.
+fn cross_zone_requests(event_log: &EventLog, zones: usize) -> u64 {
+    let is_cross_zone = |event: &Event| match event {
         Event::Reached { id, worker, .. } => JobId(*id).dispatcher() % zones != worker % zones,
         _ => false,
     };
-    event_log.count(across) as u64
+    event_log.count(is_cross_zone) as u64
 }
 
-async fn open_link(at: SocketAddr, target: SocketAddr, seed: u64, number: usize) -> std::io::Result<TcpLink> {
-    // Each link draws from a seed of its own.
-    let own = stream(seed, Stream::Network, number as u64 | 1 << 40).random();
-    TcpLink::open(at, target, LinkControl::default(), own).await
+async fn open_link(
+    listen: SocketAddr,
+    target: SocketAddr,
+    seed: u64,
+    number: usize,
+) -> std::io::Result<TcpLink> {
+    // Each link has a seed of its own, so that its random draws do not depend on other links.
+    let link_seed = stream(seed, Stream::Network, number as u64 | 1 << 40).random();
+    TcpLink::open(listen, target, LinkControl::default(), link_seed).await
 }
 
-/// Waits for all of them, or for the first that fails; a panic of one goes on here.
-async fn all_joined(mut tasks: JoinSet<Result<(), StartError>>) -> Result<(), StartError> {
-    while let Some(done) = tasks.join_next().await {
-        match done {
-            Ok(done) => done?,
+/// Waits until all tasks have succeeded or one has failed. Propagates the panic of a task.
+async fn join_all(mut tasks: JoinSet<Result<(), StartError>>) -> Result<(), StartError> {
+    while let Some(joined) = tasks.join_next().await {
+        match joined {
+            Ok(result) => result?,
             Err(error) if error.is_panic() => std::panic::resume_unwind(error.into_panic()),
-            // Called off, with all the rest.
+            // The task was cancelled together with the others.
             Err(_) => {}
         }
     }
     Ok(())
 }
 
-fn lasting(length: Span) -> tokio::time::Sleep {
+fn sleep_for(length: Span) -> tokio::time::Sleep {
     tokio::time::sleep(duration(length))
 }
