--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -7,7 +7,7 @@
 
 use clap::Args;
 use rookspoke_decisions::Span;
-use rookspoke_emulator::model::arrivals;
+use rookspoke_emulator::model::draw_arrivals;
 use rookspoke_emulator::report::Score;
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::{Scenario, Stage};
@@ -229,7 +229,7 @@
         let backends: Vec<Backend> = what.to.iter().map(|to| Backend::in_rotation_at(*to)).collect();
         let lateness = Lateness::default();
         let load = LoadGenerator::new(&scenario, what.seed, Arc::new(backends), event_log.clone(), lateness.clone());
-        let jobs = arrivals(&scenario, what.seed, &mut stream(what.seed, Stream::Clients, 0));
+        let jobs = draw_arrivals(&scenario, what.seed, &mut stream(what.seed, Stream::Clients, 0));
         load.run(event_log.clock().now() + Span(200_000), &jobs).await;
         event_log.finish();
         let counted = load.counts();
--- a/crates/rig/src/dispatcher.rs
+++ b/crates/rig/src/dispatcher.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use rookspoke_emulator::model::settings;
+use rookspoke_emulator::model::dispatcher_settings;
 use rookspoke_emulator::scenario::Scenario;
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -100,7 +100,7 @@
     discovery: SocketAddr,
     seed: u64,
 ) -> Value {
-    let settings = settings(scenario, number);
+    let settings = dispatcher_settings(scenario, number);
     let classes: Vec<Value> = scenario
         .classes
         .iter()
--- a/crates/rig/src/routes.rs
+++ b/crates/rig/src/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use rookspoke_decisions::Span;
-use rookspoke_emulator::model::hit;
+use rookspoke_emulator::model::draw_affected;
 use rookspoke_emulator::scenario::{Disturbance, Faults, Party, Scenario, Trouble};
 
 /// A route between two parties. Dispatchers whose routes to log workers have the same link incidents form a group and
@@ -65,7 +65,7 @@
                     _ => workers,
                 };
                 let candidates = members(incident.to, party_count, zones);
-                let drawn = hit(seed, DRAW_OFFSET + number, incident.part, candidates.len());
+                let drawn = draw_affected(seed, DRAW_OFFSET + number, incident.part, candidates.len());
                 drawn.into_iter().map(|at| candidates[at]).collect()
             })
             .collect();
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -10,7 +10,7 @@
 use rand::Rng;
 use rookspoke_decisions::Span;
 use rookspoke_emulator::check::RULES;
-use rookspoke_emulator::model::{arrivals, hit, is_costly, Arrival};
+use rookspoke_emulator::model::{draw_affected, draw_arrivals, is_costly, Arrival};
 use rookspoke_emulator::report::{spread, ClassReport, Report, Score};
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::{Incident, Scenario, Trouble};
@@ -376,10 +376,10 @@
     /// The jobs that clients will send, drawn as in the emulator, with the additional work of `costly` incidents.
     pub fn arrivals(&self) -> Vec<Arrival> {
         let (scenario, seed) = (&self.scenario, self.options.seed);
-        let mut all = arrivals(scenario, seed, &mut stream(seed, Stream::Clients, 0));
+        let mut all = draw_arrivals(scenario, seed, &mut stream(seed, Stream::Clients, 0));
         for incident in scenario.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
             for (number, arrival) in all.iter_mut().enumerate() {
-                if is_costly(seed, number, arrival.asked, incident) {
+                if is_costly(seed, number, arrival.intended_at, incident) {
                     arrival.work *= incident.size;
                 }
             }
@@ -430,7 +430,7 @@
             matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
         let party_count =
             if affects_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
-        let affected = hit(self.options.seed, number, part, party_count);
+        let affected = draw_affected(self.options.seed, number, part, party_count);
         self.record_script(format!("incident {number} ({trouble:?}) begins"));
         let until_end = sleep_for(length);
         match trouble {
@@ -458,19 +458,19 @@
                 while turns.join_next().await.is_some() {}
             }
             Trouble::Slow => {
-                self.worker_pool.update_workers(&affected, |worker| worker.slow *= size.max(1e-3));
+                self.worker_pool.update_workers(&affected, |worker| worker.slowdown *= size.max(1e-3));
                 until_end.await;
-                self.worker_pool.update_workers(&affected, |worker| worker.slow /= size.max(1e-3));
+                self.worker_pool.update_workers(&affected, |worker| worker.slowdown /= size.max(1e-3));
             }
             Trouble::Neighbour => {
                 let end = self.event_log.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
                 while self.event_log.clock().now() < end {
-                    self.worker_pool.update_workers(&affected, |worker| worker.taken = taken);
+                    self.worker_pool.update_workers(&affected, |worker| worker.cpu_steal = taken);
                     taken = if taken > 0.0 { 0.0 } else { size.clamp(0.0, 0.99) };
                     sleep_for(Span(1_000_000)).await;
                 }
-                self.worker_pool.update_workers(&affected, |worker| worker.taken = 0.0);
+                self.worker_pool.update_workers(&affected, |worker| worker.cpu_steal = 0.0);
             }
             Trouble::Pause => {
                 self.worker_pool.update_workers(&affected, |worker| worker.paused = true);
--- a/crates/rig/src/worker_pool.rs
+++ b/crates/rig/src/worker_pool.rs
@@ -18,8 +18,8 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rookspoke_decisions::{Span, Time};
-use rookspoke_emulator::check::{Checker, Figures, Rule};
-use rookspoke_emulator::model::{make, Begins, Job, Store, Worker};
+use rookspoke_emulator::check::{InvariantChecker, Rule, RuleLimits};
+use rookspoke_emulator::model::{draw_worker_spec, Job, StartPhase, Store, Worker};
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::Scenario;
 use serde::{Deserialize, Serialize};
@@ -107,7 +107,7 @@
     attempts: HashMap<usize, Attempt>,
     next_attempt: usize,
     /// Decides who caused the overload of a log worker in slow start.
-    checker: Checker,
+    checker: InvariantChecker,
     /// Overloads so far that were caused by dispatchers that had been notified of the start.
     blamed_overloads: u64,
     extra_report_delay: Span,
@@ -157,7 +157,7 @@
         let mut processes = Vec::new();
         for number in 0..listeners.len() {
             processes.push(WorkerProcess {
-                worker: Worker::new(make(scenario, seed, number)),
+                worker: Worker::new(draw_worker_spec(scenario, seed, number)),
                 state: watch::Sender::new(ProcessState::Running(0)),
                 draining: false,
                 epoch: 0,
@@ -180,12 +180,12 @@
             timers,
             attempts: HashMap::new(),
             next_attempt: 0,
-            checker: Checker::new(Figures {
+            checker: InvariantChecker::new(RuleLimits {
                 answer_slack: scenario.span("rules.answer-slack"),
                 drain_grace: scenario.span("rules.drain-grace"),
-                fall_multiple: scenario.get("rules.fall-multiple"),
-                fall_span: scenario.span("rules.fall-span"),
-                alone: false,
+                overload_multiple: scenario.get("rules.fall-multiple"),
+                overload_window: scenario.span("rules.fall-span"),
+                forbid_parallel_attempts: false,
             }),
             blamed_overloads: 0,
             extra_report_delay: Span(0),
@@ -260,8 +260,8 @@
         let now = self.now();
         let process = &mut pool.processes[worker];
         process.version += 1;
-        let mut next = process.worker.next_end(now);
-        if process.worker.is_cold(now) && !process.worker.is_idle() {
+        let mut next = process.worker.next_completion(now);
+        if process.worker.in_slow_start(now) && !process.worker.is_idle() {
             // Its speed rises during slow start, so the next end is computed anew at each step.
             next = Some(next.map_or(now + SLOW_START_STEP, |next| next.min(now + SLOW_START_STEP)));
         }
@@ -273,7 +273,7 @@
 
     fn schedule_store(&self, pool: &mut PoolState) {
         pool.store_version += 1;
-        if let Some(next) = pool.store.next_end() {
+        if let Some(next) = pool.store.next_completion() {
             pool.timers.push(Reverse((next, Timer::Store(pool.store_version))));
             self.0.changed.notify_one();
         }
@@ -281,7 +281,7 @@
 
     fn advance_worker(&self, pool: &mut PoolState, worker: usize) {
         pool.processes[worker].worker.advance(self.now());
-        for job in pool.processes[worker].worker.take_done() {
+        for job in pool.processes[worker].worker.take_completed() {
             if let Some(attempt) = pool.attempts.remove(&job.attempt) {
                 self.0.event_log.record(Event::Finished { id: attempt.id, worker });
                 self.send_state(&attempt, "done", true);
@@ -293,9 +293,9 @@
     fn start_jobs(&self, pool: &mut PoolState, worker: usize) {
         let now = self.now();
         while let Some((job, begins)) = pool.processes[worker].worker.start_next() {
-            if begins == Begins::Fetches {
+            if begins == StartPhase::Fetching {
                 pool.store.advance(now);
-                pool.store.begin((worker, job.attempt), self.0.scenario.span("store.fetch"));
+                pool.store.start_fetch((worker, job.attempt), self.0.scenario.span("store.fetch"));
                 self.schedule_store(pool);
             }
             if let Some(attempt) = pool.attempts.get(&job.attempt) {
@@ -309,9 +309,9 @@
     fn advance_store(&self, pool: &mut PoolState) {
         let now = self.now();
         pool.store.advance(now);
-        for (worker, attempt) in pool.store.take_done() {
+        for (worker, attempt) in pool.store.take_completed() {
             pool.processes[worker].worker.advance(now);
-            pool.processes[worker].worker.fetched(attempt);
+            pool.processes[worker].worker.archive_fetched(attempt);
             self.schedule_worker(pool, worker);
         }
         self.schedule_store(pool);
@@ -332,7 +332,7 @@
         let pool = &mut *pool;
         let now = self.now();
         self.0.event_log.record(Event::Reached { id, worker, left_ms });
-        if pool.processes[worker].worker.is_cold(now) && self.overloads(pool, worker, id) {
+        if pool.processes[worker].worker.in_slow_start(now) && self.overloads(pool, worker, id) {
             return Admission::ProcessFailed;
         }
         let attempt = pool.next_attempt;
@@ -341,7 +341,7 @@
         let process = &mut pool.processes[worker];
         process.worker.advance(now);
         let hands_back = process.draining && self.0.scenario.on("worker.hands-back");
-        if hands_back || !process.worker.take(job) {
+        if hands_back || !process.worker.enqueue(job) {
             self.0.event_log.record(Event::TurnedAway { id, worker });
             return Admission::Rejected;
         }
@@ -357,11 +357,11 @@
         let process = &pool.processes[worker];
         let notified =
             self.0.discovery_server.notified_start(JobId(id).dispatcher(), worker) == process.worker.started;
-        let capacity = process.worker.nominal(now);
-        if !pool.checker.loads(now, worker, self.0.mean_work, notified, capacity) {
+        let capacity = process.worker.nominal_capacity(now);
+        if !pool.checker.work_arrived(now, worker, self.0.mean_work, notified, capacity) {
             return false;
         }
-        let blamed = pool.checker.broken(Rule::GentleStart);
+        let blamed = pool.checker.violations(Rule::GentleStart);
         let notified = blamed > pool.blamed_overloads;
         pool.blamed_overloads = blamed;
         self.0.event_log.record(Event::Overloaded { worker, notified });
@@ -382,10 +382,10 @@
         let (worker, now) = (*worker, self.now());
         pool.processes[worker].worker.advance(now);
         let running = self.0.scenario.on("worker.cancels-running");
-        if pool.processes[worker].worker.drop_job(attempt, running) {
+        if pool.processes[worker].worker.remove_job(attempt, running) {
             pool.attempts.remove(&attempt);
             pool.store.advance(now);
-            pool.store.forget(worker, Some(attempt));
+            pool.store.cancel_fetches(worker, Some(attempt));
             self.schedule_store(pool);
             self.start_jobs(pool, worker);
         }
@@ -396,14 +396,14 @@
         let now = self.now();
         let process = &mut pool.processes[worker];
         process.worker.advance(now);
-        let lost = process.worker.die();
+        let lost = process.worker.terminate();
         process.draining = false;
         process.connections = 0;
         process.epoch += 1;
         process.reports.clear();
         process.state.send_replace(if silent { ProcessState::Silent } else { ProcessState::Stopped });
         pool.store.advance(now);
-        pool.store.forget(worker, None);
+        pool.store.cancel_fetches(worker, None);
         for job in lost {
             // The response body is neither completed nor continued: the end of the connection tells the dispatcher.
             pool.orphaned_attempts.extend(pool.attempts.remove(&job.attempt));
@@ -420,8 +420,8 @@
         if process.is_up() && !process.worker.paused {
             process.worker.advance(now);
             let mut noise_factor = || 1.0 + noise * (2.0 * process.rng.random::<f64>() - 1.0);
-            let free = (process.worker.free() * noise_factor()).max(0.0);
-            let util = (process.worker.util() * noise_factor()).clamp(0.0, 1.0);
+            let free = (process.worker.free_slots() * noise_factor()).max(0.0);
+            let util = (process.worker.utilization() * noise_factor()).clamp(0.0, 1.0);
             let report = json!({"x0": free, "util": util}).to_string();
             process.reports.push_back((now + late, report));
         }
@@ -434,7 +434,7 @@
         pool.probes += 1;
         let process = &mut pool.processes[worker];
         process.worker.advance(now);
-        process.worker.burden(self.0.scenario.get("probe.work") / 1000.0);
+        process.worker.add_overhead(self.0.scenario.get("probe.work") / 1000.0);
         while process.reports.len() > 1 && process.reports[1].0 <= now {
             process.reports.pop_front();
         }
@@ -481,7 +481,7 @@
             process.epoch += 1;
             let epoch = process.epoch;
             process.state.send_replace(ProcessState::Running(epoch));
-            pool.checker.restarts(*worker);
+            pool.checker.worker_restarted(*worker);
             pool.orphaned_attempts.retain(|attempt| attempt.worker != *worker);
             self.0.discovery_server.update_after(
                 self.0.scenario.span("discovery.notices"),
@@ -509,7 +509,7 @@
         );
         if self.0.scenario.on("worker.hands-back") {
             pool.processes[worker].worker.advance(now);
-            for job in pool.processes[worker].worker.hand_back() {
+            for job in pool.processes[worker].worker.take_waiting() {
                 if let Some(attempt) = pool.attempts.remove(&job.attempt) {
                     self.0.event_log.record(Event::TurnedAway { id: attempt.id, worker });
                     self.send_state(&attempt, "returned", false);
@@ -551,7 +551,7 @@
 
     /// Processor time that each log worker spent on jobs, in seconds of one core.
     pub fn busy_seconds(&self) -> Vec<f64> {
-        self.lock().processes.iter().map(|process| process.worker.worked).collect()
+        self.lock().processes.iter().map(|process| process.worker.core_seconds).collect()
     }
 
     /// Number of connections that were opened to the log workers.
@@ -566,7 +566,7 @@
 
     /// Number of archives that the log workers fetched from the store.
     pub fn fetches(&self) -> u64 {
-        self.lock().store.begun
+        self.lock().store.fetches_started
     }
 
     /// Number of log workers that accept jobs at present.
@@ -638,7 +638,7 @@
             }
             process.connections += 1;
             process.worker.advance(now);
-            process.worker.burden(self.0.scenario.get("connection.opening") / 1000.0);
+            process.worker.add_overhead(self.0.scenario.get("connection.opening") / 1000.0);
             pool.connections_opened += 1;
             self.schedule_worker(&mut pool, worker);
         }
