--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use common::{list, listing, request, settings};
+use common::{list_event, listing, request_event, settings};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rookspoke_decisions::*;
 
@@ -97,7 +97,7 @@
 
 fn entries() -> Event {
     let started = Some(Time::from_ms(BEGIN_MS));
-    list(ListScope::Complete, (0..WORKERS).map(|at| Listing { started, ..listing(at) }).collect())
+    list_event(ListScope::Complete, (0..WORKERS).map(|at| Listing { started, ..listing(at) }).collect())
 }
 
 /// The most of any span, as a part of N + 2 x root of N + 2, and what was sent over the ramp, as a part of N.
@@ -115,7 +115,7 @@
     };
     let begin = Time::from_ms(BEGIN_MS);
     for of in 0..count {
-        play.tell(begin, of, entries());
+        play.handle(begin, of, entries());
         play.at(begin, of, Due::Arrives);
         if case == Case::Restarts && of % 6 == 0 {
             play.at(begin + Span::from_ms(5_000.0), of, Due::Starts);
@@ -145,21 +145,21 @@
                 let mean = 1.0 / (rate * part * stepped);
                 let pause = -mean * (1.0 - rng.random::<f64>()).ln();
                 play.at(now + Span::from_ms(pause), of, Due::Arrives);
-                play.tell(
+                play.handle(
                     now,
                     of,
-                    request(id, 0, Some(&format!("k{}", id % 40)), now + Span::from_ms(3_000.0)),
+                    request_event(id, 0, Some(&format!("k{}", id % 40)), now + Span::from_ms(3_000.0)),
                 );
             }
             Due::Ends { id, attempt, worker } => {
                 play.held[worker] -= 1.0;
-                let load = common::free((SLOTS - play.held[worker]).max(0.0));
-                play.tell(now, of, common::ended(id, attempt, Outcome::Served, true, load));
+                let load = common::free_slots_report((SLOTS - play.held[worker]).max(0.0));
+                play.handle(now, of, common::outcome_event(id, attempt, Outcome::Served, true, load));
             }
-            Due::Timer(token) => play.tell(now, of, Event::Timer(token)),
+            Due::Timer(token) => play.handle(now, of, Event::Timer(token)),
             Due::Starts => {
                 play.dispatchers[of] = starts(count, of, seed + at as u64);
-                play.tell(now, of, entries());
+                play.handle(now, of, entries());
             }
         }
     }
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,15 +1,17 @@
-//! Settings, lists and a small host for tests of the module.
+//! Settings, events and a minimal host for the integration tests.
 #![allow(dead_code)]
 
 use std::sync::Arc;
 
 use rookspoke_decisions::*;
 
+/// A class with a latency goal of 400 ms plus twice the job's own work, and no worth after it.
 pub fn class(effect: Effect) -> Class {
     let aim = Span::from_ms(400.0);
     Class { name: "job".into(), aim, stretch: 2.0, late_worth: 0.0, worth: 1.0, effect, kind: None }
 }
 
+/// Settings of a single dispatcher with one class for each of `effects`.
 pub fn settings(effects: &[Effect]) -> Settings {
     Settings {
         dispatcher_index: 0,
@@ -17,7 +19,7 @@
         zone: "here".into(),
         zones: vec!["here".into()],
         kinds: vec!["small".into(), "large".into()],
-        classes: effects.iter().map(|e| class(*e)).collect(),
+        classes: effects.iter().map(|effect| class(*effect)).collect(),
         tenants: Vec::new(),
         over_share_worth: 0.05,
         worth_by: WorthBy::Request,
@@ -48,23 +50,25 @@
     }
 }
 
-pub fn listing(at: usize) -> Listing {
+/// The entry of worker `w{index}`, which is in service and past its slow start. Three workers share a rack.
+pub fn listing(index: usize) -> Listing {
     Listing {
-        worker: format!("w{at}").into(),
+        worker: format!("w{index}").into(),
         kind: "small".into(),
         zone: "here".into(),
-        cell: Some(at as u64 / 3),
+        cell: Some(index as u64 / 3),
         started: None,
         weight: 1.0,
         readiness: Readiness::InService,
     }
 }
 
-pub fn list(scope: ListScope, entries: Vec<Listing>) -> Event {
+pub fn list_event(scope: ListScope, entries: Vec<Listing>) -> Event {
     Event::List { scope, entries: Arc::from(entries) }
 }
 
-pub fn request(id: u64, class: usize, key: Option<&str>, deadline: Time) -> Event {
+/// A request for one slot.
+pub fn request_event(id: u64, class: usize, key: Option<&str>, deadline: Time) -> Event {
     Event::Request(Request {
         idempotency_hash: None,
         id: RequestId(id),
@@ -78,44 +82,55 @@
     })
 }
 
-pub fn ended(id: u64, attempt: usize, outcome: Outcome, closed: bool, load: Option<LoadReport>) -> Event {
+/// The end of an attempt that took 400 ms.
+pub fn outcome_event(
+    id: u64,
+    attempt: usize,
+    outcome: Outcome,
+    closed: bool,
+    load: Option<LoadReport>,
+) -> Event {
     let latency = Span::from_ms(400.0);
     Event::Outcome(AttemptEnd { request: RequestId(id), attempt, outcome, latency, closed, load })
 }
 
-pub fn free(slots: f64) -> Option<LoadReport> {
+/// A load report of `slots` free slots and an empty queue.
+pub fn free_slots_report(slots: f64) -> Option<LoadReport> {
     Some(LoadReport { free_slots: Some(slots), queue: Some(0.0), ..LoadReport::default() })
 }
 
-/// A dispatcher with a clock in milliseconds.
+/// A dispatcher and its clock. Tests advance `now_ms` themselves.
 pub struct Host {
-    pub d: Dispatcher,
-    pub ms: f64,
+    pub dispatcher: Dispatcher,
+    pub now_ms: f64,
 }
 
 impl Host {
     pub fn new(settings: Settings, workers: usize) -> Self {
-        let mut host = Host { d: Dispatcher::new(settings, 7).expect("settings"), ms: 1_000.0 };
-        host.tell(list(ListScope::Remembered, (0..workers).map(listing).collect()));
+        let mut host =
+            Host { dispatcher: Dispatcher::new(settings, 7).expect("valid settings"), now_ms: 1_000.0 };
+        host.handle(list_event(ListScope::Remembered, (0..workers).map(listing).collect()));
         host
     }
     pub fn now(&self) -> Time {
-        Time::from_ms(self.ms)
+        Time::from_ms(self.now_ms)
     }
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the dispatcher and returns its actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.d.handle(Time::from_ms(self.ms), event, &mut out);
+        self.dispatcher.handle(Time::from_ms(self.now_ms), event, &mut out);
         out
     }
-    pub fn ask(&mut self, id: u64, class: usize, key: Option<&str>) -> Vec<Action> {
-        let deadline = Time::from_ms(self.ms + 5000.0);
-        self.tell(request(id, class, key, deadline))
+    /// Submits a request with a deadline in 5 s and returns the actions.
+    pub fn submit(&mut self, id: u64, class: usize, key: Option<&str>) -> Vec<Action> {
+        let deadline = Time::from_ms(self.now_ms + 5000.0);
+        self.handle(request_event(id, class, key, deadline))
     }
 }
 
-/// The worker of the first send among the actions.
+/// The worker of the first `Send` among the actions.
 pub fn sent_to(actions: &[Action]) -> Option<String> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::Send { worker, .. } => Some(worker.to_string()),
         _ => None,
     })
--- a/crates/decisions/tests/mechanism.rs
+++ b/crates/decisions/tests/mechanism.rs
@@ -8,7 +8,7 @@
 use rookspoke_decisions::*;
 
 fn serve(host: &mut Host, id: u64, load: Option<LoadReport>) {
-    host.tell(ended(id, 0, Outcome::Served, true, load));
+    host.handle(outcome_event(id, 0, Outcome::Served, true, load));
 }
 
 #[test]
@@ -16,8 +16,8 @@
     let mut host = Host::new(settings(&[Effect::Safe]), 12);
     let mut seen = BTreeSet::new();
     for id in 0..20 {
-        host.ms += 500.0;
-        seen.insert(sent_to(&host.ask(id, 0, Some("k"))).expect("sent"));
+        host.now_ms += 500.0;
+        seen.insert(sent_to(&host.submit(id, 0, Some("k"))).expect("sent"));
         serve(&mut host, id, None);
     }
     assert_eq!(seen.len(), 1, "{seen:?}");
@@ -28,10 +28,12 @@
     let first = |seed: u64, me: usize| {
         let mut s = settings(&[Effect::Safe]);
         (s.dispatcher_index, s.dispatchers) = (me, 4);
-        let mut host =
-            Host { d: rookspoke_decisions::Dispatcher::new(s, seed).expect("settings"), ms: 1000.0 };
-        host.tell(list(ListScope::Remembered, (0..12).map(listing).collect()));
-        (0..30).map(|k| sent_to(&host.ask(k, 0, Some(&format!("k{k}"))))).collect::<Vec<_>>()
+        let mut host = Host {
+            dispatcher: rookspoke_decisions::Dispatcher::new(s, seed).expect("settings"),
+            now_ms: 1000.0,
+        };
+        host.handle(list_event(ListScope::Remembered, (0..12).map(listing).collect()));
+        (0..30).map(|k| sent_to(&host.submit(k, 0, Some(&format!("k{k}"))))).collect::<Vec<_>>()
     };
     let (a, b) = (first(1, 0), first(99, 3));
     let same = a.iter().zip(&b).filter(|(a, b)| a == b).count();
@@ -41,7 +43,7 @@
 #[test]
 fn a_full_worker_sends_the_key_on_to_another() {
     let mut host = Host::new(settings(&[Effect::Safe]), 3);
-    let sends: Vec<String> = (0..12).filter_map(|id| sent_to(&host.ask(id, 0, Some("k")))).collect();
+    let sends: Vec<String> = (0..12).filter_map(|id| sent_to(&host.submit(id, 0, Some("k")))).collect();
     assert_eq!(sends[..8].iter().collect::<BTreeSet<_>>().len(), 1, "eight slots, as the paper counts");
     assert_ne!(sends[0], sends[11], "Full takes nothing more");
 }
@@ -51,18 +53,22 @@
 fn one_job_that_started_late_shows_no_queue() {
     for late in [68.0, 150.0, 400.0] {
         let mut host = Host::new(settings(&[Effect::Safe]), 1);
-        assert!(sent_to(&host.ask(1, 0, Some("k"))).is_some());
-        host.ms += late;
-        host.tell(Event::AttemptUpdate { request: RequestId(1), attempt: 0, update: AttemptUpdate::Started });
+        assert!(sent_to(&host.submit(1, 0, Some("k"))).is_some());
+        host.now_ms += late;
+        host.handle(Event::AttemptUpdate {
+            request: RequestId(1),
+            attempt: 0,
+            update: AttemptUpdate::Started,
+        });
         serve(&mut host, 1, None);
-        assert!(sent_to(&host.ask(2, 0, Some("l"))).is_some(), "refused after one start {late} ms late");
+        assert!(sent_to(&host.submit(2, 0, Some("l"))).is_some(), "refused after one start {late} ms late");
     }
     // More of them do.
     let mut host = Host::new(settings(&[Effect::Safe]), 1);
     let sent = (1..60).filter(|id| {
-        let sent = sent_to(&host.ask(*id, 0, Some("k"))).is_some();
-        host.ms += 900.0;
-        host.tell(Event::AttemptUpdate {
+        let sent = sent_to(&host.submit(*id, 0, Some("k"))).is_some();
+        host.now_ms += 900.0;
+        host.handle(Event::AttemptUpdate {
             request: RequestId(*id),
             attempt: 0,
             update: AttemptUpdate::Started,
@@ -72,8 +78,8 @@
     });
     assert!(sent.count() < 59);
     // A worker that sends no reports is refused nothing for good: what its late starts showed is old after a minute.
-    host.ms += 60_000.0;
-    assert!(sent_to(&host.ask(60, 0, Some("k"))).is_some(), "refused for what was seen a minute ago");
+    host.now_ms += 60_000.0;
+    assert!(sent_to(&host.submit(60, 0, Some("k"))).is_some(), "refused for what was seen a minute ago");
 }
 
 /// The key's own few workers are no reason to refuse what the rest of the fleet would start in time.
@@ -83,8 +89,8 @@
     s.zones.push("there".into());
     let mut host = Host::new(s, 0);
     let there = |at| Listing { zone: if at == 0 { "here" } else { "there" }.into(), ..listing(at) };
-    host.tell(list(ListScope::Complete, (0..7).map(there).collect()));
-    let sends: Vec<_> = (0..40).map(|id| sent_to(&host.ask(id, 0, Some("k")))).collect();
+    host.handle(list_event(ListScope::Complete, (0..7).map(there).collect()));
+    let sends: Vec<_> = (0..40).map(|id| sent_to(&host.submit(id, 0, Some("k")))).collect();
     assert!(sends.iter().all(Option::is_some), "{sends:?}");
 }
 
@@ -95,15 +101,15 @@
     s.reporting = Reporting::Probe;
     let mut host = Host::new(s, 0);
     let probed = |actions: Vec<Action>| actions.iter().filter(|a| matches!(a, Action::Probe(_))).count();
-    host.ms += 300.0;
-    assert_eq!(probed(host.tell(list(ListScope::Complete, (0..5).map(listing).collect()))), 5);
+    host.now_ms += 300.0;
+    assert_eq!(probed(host.handle(list_event(ListScope::Complete, (0..5).map(listing).collect()))), 5);
     let (outcome, latency) = (Outcome::Served, Span::from_ms(1.0));
     let load = LoadReport { free_slots: Some(4.0), ..LoadReport::default() };
     for at in 0..5 {
-        host.tell(Event::Probed { worker: listing(at).worker, outcome, latency, load: Some(load) });
+        host.handle(Event::Probed { worker: listing(at).worker, outcome, latency, load: Some(load) });
     }
-    host.ms += 300.0;
-    assert_eq!(probed(host.tell(Event::Timer(0))), 0);
+    host.now_ms += 300.0;
+    assert_eq!(probed(host.handle(Event::Timer(0))), 0);
 }
 
 /// A drain counts as told 6 s later, heard or not: pauses that doubled up to seconds broke the rule on drains.
@@ -114,11 +120,11 @@
     let mut host = Host::new(s, 1);
     let mut asked = Vec::new();
     for _ in 0..400 {
-        host.ms += 100.0;
-        let out = host.tell(Event::Timer(0));
+        host.now_ms += 100.0;
+        let out = host.handle(Event::Timer(0));
         if out.iter().any(|a| matches!(a, Action::Subscribe)) {
-            asked.push(host.ms);
-            host.tell(list(ListScope::Failed, Vec::new()));
+            asked.push(host.now_ms);
+            host.handle(list_event(ListScope::Failed, Vec::new()));
         }
     }
     // The first call is spread over a quarter of `ask_every`; a pause ends with the next round.
@@ -128,26 +134,27 @@
 #[test]
 fn a_worker_that_turned_a_job_away_counts_as_full_for_a_moment() {
     let mut host = Host::new(settings(&[Effect::Unsafe]), 4);
-    let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
-    let again = sent_to(&host.tell(ended(1, 0, Outcome::TurnedAway, false, None))).expect("sent again");
+    let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
+    let again =
+        sent_to(&host.handle(outcome_event(1, 0, Outcome::TurnedAway, false, None))).expect("sent again");
     assert_ne!(first, again);
     serve(&mut host, 1, None);
-    assert_ne!(sent_to(&host.ask(2, 0, Some("k"))), Some(first));
+    assert_ne!(sent_to(&host.submit(2, 0, Some("k"))), Some(first));
 }
 
 #[test]
 fn a_worker_that_fails_fast_is_shunned() {
     let mut host = Host::new(settings(&[Effect::Unsafe]), 4);
-    let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
-    host.tell(ended(1, 0, Outcome::Error, false, None));
-    host.ms += 10.0;
-    assert_ne!(sent_to(&host.ask(2, 0, Some("k"))), Some(first), "fast errors look idle");
+    let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
+    host.handle(outcome_event(1, 0, Outcome::Error, false, None));
+    host.now_ms += 10.0;
+    assert_ne!(sent_to(&host.submit(2, 0, Some("k"))), Some(first), "fast errors look idle");
 }
 
 /// A dispatcher of a safe class and an unsafe one, and the worker to which key "k" goes first.
 fn with_a_failing_worker() -> (Host, String) {
     let mut host = Host::new(settings(&[Effect::Safe, Effect::Unsafe]), 4);
-    let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
+    let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
     (host, first)
 }
 
@@ -155,15 +162,15 @@
 #[test]
 fn jobs_that_must_not_run_twice_keep_from_a_worker_that_failed_until_it_serves_others() {
     let (mut host, failing) = with_a_failing_worker();
-    host.tell(ended(1, 0, Outcome::Error, true, None));
-    host.ms += 3_000.0;
-    assert_ne!(sent_to(&host.ask(2, 1, Some("k"))), Some(failing.clone()));
-    let tried = sent_to(&host.ask(3, 0, Some("k")));
+    host.handle(outcome_event(1, 0, Outcome::Error, true, None));
+    host.now_ms += 3_000.0;
+    assert_ne!(sent_to(&host.submit(2, 1, Some("k"))), Some(failing.clone()));
+    let tried = sent_to(&host.submit(3, 0, Some("k")));
     assert_eq!(tried, Some(failing.clone()), "a safe job is the test");
     serve(&mut host, 3, None);
-    assert_ne!(sent_to(&host.ask(4, 1, Some("k"))), Some(failing.clone()), "one served is no proof");
-    host.ms += 20_000.0;
-    assert_eq!(sent_to(&host.ask(5, 1, Some("k"))), Some(failing), "errors are forgotten");
+    assert_ne!(sent_to(&host.submit(4, 1, Some("k"))), Some(failing.clone()), "one served is no proof");
+    host.now_ms += 20_000.0;
+    assert_eq!(sent_to(&host.submit(5, 1, Some("k"))), Some(failing), "errors are forgotten");
 }
 
 #[test]
@@ -172,28 +179,28 @@
     serve(&mut host, 1, None);
     let load = LoadReport { errors_per_s: Some(1.2), served_per_s: Some(0.5), ..LoadReport::default() };
     let (outcome, latency) = (Outcome::Served, Span::from_ms(1.0));
-    host.tell(Event::Probed { worker: failing.as_str().into(), outcome, latency, load: Some(load) });
-    assert_ne!(sent_to(&host.ask(2, 1, Some("k"))), Some(failing.clone()));
-    assert_eq!(sent_to(&host.ask(3, 0, Some("k"))), Some(failing));
+    host.handle(Event::Probed { worker: failing.as_str().into(), outcome, latency, load: Some(load) });
+    assert_ne!(sent_to(&host.submit(2, 1, Some("k"))), Some(failing.clone()));
+    assert_eq!(sent_to(&host.submit(3, 0, Some("k"))), Some(failing));
 }
 
 #[test]
 fn where_all_fail_a_job_is_sent_all_the_same() {
     let mut host = Host::new(settings(&[Effect::Safe, Effect::Unsafe]), 1);
-    host.ask(1, 0, Some("k"));
-    host.tell(ended(1, 0, Outcome::Error, true, None));
-    host.ms += 3_000.0;
-    assert!(sent_to(&host.ask(2, 1, Some("k"))).is_some());
+    host.submit(1, 0, Some("k"));
+    host.handle(outcome_event(1, 0, Outcome::Error, true, None));
+    host.now_ms += 3_000.0;
+    assert!(sent_to(&host.submit(2, 1, Some("k"))).is_some());
 }
 
 /// What has not run yet is not known to be dear: a first guess of its run time must not refuse anything.
 #[test]
 fn a_class_that_has_not_run_yet_makes_no_other_look_dear() {
     let mut host = Host::new(settings(&[Effect::Safe, Effect::Unsafe]), 1);
-    host.ask(1, 0, Some("k"));
+    host.submit(1, 0, Some("k"));
     let latency = Span::from_ms(1_600.0);
     let (request, load) = (RequestId(1), None);
-    host.tell(Event::Outcome(AttemptEnd {
+    host.handle(Event::Outcome(AttemptEnd {
         request,
         attempt: 0,
         outcome: Outcome::Served,
@@ -201,24 +208,24 @@
         closed: true,
         load,
     }));
-    (2..9).for_each(|id| drop(host.ask(id, 0, Some("k"))));
-    assert!(sent_to(&host.ask(9, 0, Some("k"))).is_some());
+    (2..9).for_each(|id| drop(host.submit(id, 0, Some("k"))));
+    assert!(sent_to(&host.submit(9, 0, Some("k"))).is_some());
 }
 
 /// What is told of a job that runs, one note each two seconds, and then nothing.
 fn goes_silent(class: usize) -> (Host, Vec<Action>) {
     let mut host = Host::new(settings(&[Effect::Safe, Effect::Unsafe]), 4);
     let deadline = host.now() + Span::from_ms(30_000.0);
-    sent_to(&host.tell(request(1, class, Some("k"), deadline))).expect("sent");
+    sent_to(&host.handle(request_event(1, class, Some("k"), deadline))).expect("sent");
     let (request, attempt) = (RequestId(1), 0);
     for update in [AttemptUpdate::Started, AttemptUpdate::Progress(0.2), AttemptUpdate::Progress(0.4)] {
-        let out = host.tell(Event::AttemptUpdate { request, attempt, update });
+        let out = host.handle(Event::AttemptUpdate { request, attempt, update });
         assert!(!cancels(&out), "it is being told of");
-        host.ms += 3_900.0;
-        assert!(!cancels(&host.tell(Event::Timer(0))), "one note may be late");
+        host.now_ms += 3_900.0;
+        assert!(!cancels(&host.handle(Event::Timer(0))), "one note may be late");
     }
-    host.ms += 200.0;
-    let out = host.tell(Event::Timer(0));
+    host.now_ms += 200.0;
+    let out = host.handle(Event::Timer(0));
     (host, out)
 }
 
@@ -234,11 +241,11 @@
 fn a_job_whose_worker_falls_silent_gets_its_answer_at_once_and_is_not_sent_again_late_or_unsafe() {
     let (mut host, out) = goes_silent(1);
     assert!(cancels(&out), "{out:?}");
-    let out = host.tell(ended(1, 0, Outcome::Cancelled, false, None));
+    let out = host.handle(outcome_event(1, 0, Outcome::Cancelled, false, None));
     assert!(matches!(out[..], [Action::Fail { request: RequestId(1), .. }, ..]), "it may have run: {out:?}");
     let (mut host, out) = goes_silent(0);
     assert!(cancels(&out), "{out:?}");
-    let out = host.tell(ended(1, 0, Outcome::Cancelled, false, None));
+    let out = host.handle(outcome_event(1, 0, Outcome::Cancelled, false, None));
     assert!(matches!(out[..], [Action::Refuse { .. }, ..]), "too late to start anew: {out:?}");
 }
 
@@ -247,11 +254,11 @@
     let mut s = settings(&[Effect::Safe]);
     s.classes[0].aim = Span::from_ms(8_000.0);
     let mut host = Host::new(s, 4);
-    let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
-    host.tell(Event::AttemptUpdate { request: RequestId(1), attempt: 0, update: AttemptUpdate::Started });
-    host.ms += 4_000.0;
-    assert!(cancels(&host.tell(Event::Timer(0))));
-    let again = sent_to(&host.tell(ended(1, 0, Outcome::Cancelled, false, None)));
+    let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
+    host.handle(Event::AttemptUpdate { request: RequestId(1), attempt: 0, update: AttemptUpdate::Started });
+    host.now_ms += 4_000.0;
+    assert!(cancels(&host.handle(Event::Timer(0))));
+    let again = sent_to(&host.handle(outcome_event(1, 0, Outcome::Cancelled, false, None)));
     assert!(again.is_some_and(|again| again != first));
 }
 
@@ -259,25 +266,25 @@
 #[test]
 fn a_new_process_leaves_alone_the_cold_turn_that_an_earlier_one_has_had() {
     let start = Time::from_ms(1_000.0);
-    let born_at = |ms| {
+    let born_at = |now_ms| {
         let mut s = settings(&[Effect::Safe]);
         s.rules.overload_window = Span::from_ms(3_000.0);
-        let mut host = Host { d: Dispatcher::new(s, 7).expect("settings"), ms };
+        let mut host = Host { dispatcher: Dispatcher::new(s, 7).expect("settings"), now_ms };
         let cold = Listing { started: Some(start), ..listing(0) };
-        host.tell(list(ListScope::Complete, vec![cold]));
+        host.handle(list_event(ListScope::Complete, vec![cold]));
         host
     };
     let mut old = born_at(1_000.0);
     let first = (0..100u64).find(|id| {
-        old.ms += 100.0;
-        sent_to(&old.ask(*id, 0, None)).is_some()
+        old.now_ms += 100.0;
+        sent_to(&old.submit(*id, 0, None)).is_some()
     });
     assert!(first.is_some(), "its turn comes");
-    let mut new = born_at(old.ms + 20.0);
-    assert_eq!(sent_to(&new.ask(1, 0, None)), None, "spent");
+    let mut new = born_at(old.now_ms + 20.0);
+    assert_eq!(sent_to(&new.submit(1, 0, None)), None, "spent");
     let next = (2..100u64).find(|id| {
-        new.ms += 100.0;
-        sent_to(&new.ask(*id, 0, None)).is_some()
+        new.now_ms += 100.0;
+        sent_to(&new.submit(*id, 0, None)).is_some()
     });
     assert!(next.is_some(), "the next one is its own");
 }
@@ -288,12 +295,13 @@
     let answer = |slots: f64| {
         let mut host = Host::new(settings(&[Effect::Safe]), 1);
         for id in 0..7 {
-            host.ask(id, 0, Some("k"));
+            host.submit(id, 0, Some("k"));
         }
-        let Event::Request(asked) = request(9, 0, Some("k"), Time::from_ms(host.ms + 5_000.0)) else {
+        let Event::Request(asked) = request_event(9, 0, Some("k"), Time::from_ms(host.now_ms + 5_000.0))
+        else {
             panic!()
         };
-        host.tell(Event::Request(Request { slots, ..asked }))
+        host.handle(Event::Request(Request { slots, ..asked }))
     };
     assert!(sent_to(&answer(1.0)).is_some());
     let large = answer(4.0);
@@ -303,8 +311,8 @@
 #[test]
 fn an_unsafe_job_that_may_have_run_fails_and_is_never_resent() {
     let mut host = Host::new(settings(&[Effect::Unsafe]), 4);
-    host.ask(1, 0, Some("k"));
-    let after = host.tell(ended(1, 0, Outcome::ConnectionLost, false, None));
+    host.submit(1, 0, Some("k"));
+    let after = host.handle(outcome_event(1, 0, Outcome::ConnectionLost, false, None));
     assert!(fails(&after, 1), "{after:?}");
     assert_eq!(sent_to(&after), None);
 }
@@ -312,12 +320,12 @@
 #[test]
 fn a_waiting_safe_job_gets_a_second_copy_and_the_start_calls_off_the_other() {
     let mut host = Host::new(settings(&[Effect::Safe]), 4);
-    let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
-    host.ms += 150.0;
-    let second = sent_to(&host.tell(Event::Timer(0))).expect("a second copy");
+    let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
+    host.now_ms += 150.0;
+    let second = sent_to(&host.handle(Event::Timer(0))).expect("a second copy");
     assert_ne!(first, second);
     let note = Event::AttemptUpdate { request: RequestId(1), attempt: 1, update: AttemptUpdate::Started };
-    assert!(host.tell(note).contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
+    assert!(host.handle(note).contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
 }
 
 /// Where copies are not allowed, an eighth of the worth was lost to first choices by old news. What must not run twice
@@ -330,9 +338,9 @@
         let mut s = settings(&[effect]);
         (s.limits.second_copies, s.waste_price) = (false, price);
         let mut host = Host::new(s, 4);
-        let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
-        host.ms += 150.0;
-        let told = host.tell(Event::Timer(0));
+        let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
+        host.now_ms += 150.0;
+        let told = host.handle(Event::Timer(0));
         assert_eq!(sent_to(&told), None, "two would be out");
         assert_eq!(
             told.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }),
@@ -340,8 +348,8 @@
             "{effect:?} {price}"
         );
         if moves {
-            assert!(sent_to(&host.tell(Event::Timer(0))).is_none(), "not before it is known to be off");
-            let second = sent_to(&host.tell(ended(1, 0, Outcome::Cancelled, false, None)));
+            assert!(sent_to(&host.handle(Event::Timer(0))).is_none(), "not before it is known to be off");
+            let second = sent_to(&host.handle(outcome_event(1, 0, Outcome::Cancelled, false, None)));
             assert!(second.is_some_and(|second| second != first), "it goes elsewhere");
         }
     }
@@ -355,16 +363,16 @@
     let mut host = Host::new(s, 0);
     let kind = |at: usize| if at < 3 { "large" } else { "small" };
     let workers = (0..6).map(|at| Listing { kind: kind(at).into(), ..listing(at) });
-    host.tell(list(ListScope::Complete, workers.collect()));
+    host.handle(list_event(ListScope::Complete, workers.collect()));
     // The bound class fills its kind; then the others come.
     for id in 0..600 {
-        host.ms += 10.0;
-        host.ask(id, 1, Some("bound"));
+        host.now_ms += 10.0;
+        host.submit(id, 1, Some("bound"));
         serve(&mut host, id, None);
     }
     let sends = (1000..1060).filter_map(|id| {
-        host.ms += 50.0;
-        let to = sent_to(&host.ask(id, 0, Some(&format!("k{id}"))));
+        host.now_ms += 50.0;
+        let to = sent_to(&host.submit(id, 0, Some(&format!("k{id}"))));
         serve(&mut host, id, None);
         to
     });
@@ -382,11 +390,11 @@
     s.limits.second_copies = false;
     let mut host = Host::new(s, 1);
     let mut send = |id: u64, tenant: usize| {
-        host.ms += 20.0;
+        host.now_ms += 20.0;
         let deadline = host.now() + Span::from_ms(5000.0);
-        let Event::Request(mut r) = request(id, 0, Some("k"), deadline) else { unreachable!() };
+        let Event::Request(mut r) = request_event(id, 0, Some("k"), deadline) else { unreachable!() };
         r.tenant = Some(TenantId(tenant));
-        host.tell(Event::Request(r))
+        host.handle(Event::Request(r))
     };
     (0..5).for_each(|id| drop(send(id, 1)));
     // None of them has started: the worker has a queue, and only the flood is turned down.
@@ -401,14 +409,14 @@
     let mut s = settings(&[Effect::Safe, Effect::Safe]);
     (s.worth_by, s.classes[1].worth, s.limits.second_copies) = (worth_by, 5.0, false);
     let mut host = Host::new(s, 1);
-    (0..taken as u64).for_each(|id| drop(host.ask(id, 0, None)));
+    (0..taken as u64).for_each(|id| drop(host.submit(id, 0, None)));
     let sends = [(100, 0, 1.0), (101, 1, 1.0), (102, 0, 4.0), (103, 1, 4.0)].map(|(id, class, slots)| {
         let deadline = host.now() + Span::from_ms(5000.0);
-        let Event::Request(mut r) = request(id, class, None, deadline) else { unreachable!() };
+        let Event::Request(mut r) = request_event(id, class, None, deadline) else { unreachable!() };
         r.slots = slots;
-        let sent = sent_to(&host.tell(Event::Request(r))).is_some();
-        host.tell(Event::ClientGone(RequestId(id)));
-        host.tell(ended(id, 0, Outcome::Cancelled, true, None));
+        let sent = sent_to(&host.handle(Event::Request(r))).is_some();
+        host.handle(Event::ClientGone(RequestId(id)));
+        host.handle(outcome_event(id, 0, Outcome::Cancelled, true, None));
         sent
     });
     sends.into()
@@ -441,9 +449,9 @@
         let mut s = settings(&[Effect::Safe]);
         (s.zones, s.zone, s.cross_zone_price) = (zones.clone(), zone.clone(), price);
         let mut host = Host::new(s, 0);
-        host.tell(list(ListScope::Complete, (0..12).map(workers).collect()));
+        host.handle(list_event(ListScope::Complete, (0..12).map(workers).collect()));
         let mut first = |id| {
-            let to = sent_to(&host.ask(id, 0, keyed.then(|| format!("k{id}")).as_deref())).expect("sent");
+            let to = sent_to(&host.submit(id, 0, keyed.then(|| format!("k{id}")).as_deref())).expect("sent");
             serve(&mut host, id, None);
             to
         };
@@ -474,7 +482,7 @@
     let mut s = settings(&[Effect::Keyed { group, window: Span::from_ms(2_500.0) }]);
     s.reports_start = false;
     let mut host = Host::new(s, 6);
-    let first = sent_to(&host.ask(1, 0, Some("k"))).expect("sent");
+    let first = sent_to(&host.submit(1, 0, Some("k"))).expect("sent");
     (host, first)
 }
 
@@ -485,9 +493,11 @@
 #[test]
 fn a_keyed_repeat_keeps_to_its_rack() {
     let (mut host, first) = with_a_keyed_job(Group::Cell);
-    let second = sent_to(&host.tell(ended(1, 0, Outcome::ConnectionLost, false, None))).expect("sent again");
+    let second =
+        sent_to(&host.handle(outcome_event(1, 0, Outcome::ConnectionLost, false, None))).expect("sent again");
     assert_eq!(rack_of(&first), rack_of(&second));
-    let third = sent_to(&host.tell(ended(1, 1, Outcome::ConnectionLost, false, None))).expect("and again");
+    let third =
+        sent_to(&host.handle(outcome_event(1, 1, Outcome::ConnectionLost, false, None))).expect("and again");
     assert_eq!(rack_of(&first), rack_of(&third));
 }
 
@@ -495,23 +505,23 @@
 #[test]
 fn a_keyed_job_whose_rack_is_gone_fails_at_once() {
     let away: [fn(&mut Host, Vec<Listing>); 4] = [
-        |host, rack| drop(host.tell(list(ListScope::Changes, gone(rack, Readiness::Draining)))),
-        |host, rack| drop(host.tell(list(ListScope::Changes, gone(rack, Readiness::Gone)))),
+        |host, rack| drop(host.handle(list_event(ListScope::Changes, gone(rack, Readiness::Draining)))),
+        |host, rack| drop(host.handle(list_event(ListScope::Changes, gone(rack, Readiness::Gone)))),
         |host, rack| {
             let since = host.now();
             let bans: Vec<Ban> = rack.into_iter().map(|entry| Ban { worker: entry.worker, since }).collect();
-            host.tell(Event::Bans(bans.into()));
+            host.handle(Event::Bans(bans.into()));
         },
         // Racks are not known, or no more: each worker stands alone.
         |host, _| {
             let alone = (10..12).map(|at| Listing { cell: None, ..listing(at) }).collect();
-            host.tell(list(ListScope::Complete, alone));
+            host.handle(list_event(ListScope::Complete, alone));
         },
     ];
     for (case, away) in away.into_iter().enumerate() {
         let (mut host, first) = with_a_keyed_job(Group::Cell);
         away(&mut host, (0..6).filter(|at| at / 3 == rack_of(&first)).map(listing).collect());
-        let out = host.tell(ended(1, 0, Outcome::ConnectionLost, false, None));
+        let out = host.handle(outcome_event(1, 0, Outcome::ConnectionLost, false, None));
         assert!(fails(&out, 1), "case {case}: {out:?}");
     }
 }
@@ -521,16 +531,18 @@
 fn a_new_try_under_the_same_key_keeps_to_the_rack_of_what_may_have_run() {
     let tagged = |host: &mut Host, id: u64, tag: u64| {
         let deadline = host.now() + Span::from_ms(5000.0);
-        let Event::Request(mut r) = request(id, 0, Some(&format!("k{id}")), deadline) else { unreachable!() };
+        let Event::Request(mut r) = request_event(id, 0, Some(&format!("k{id}")), deadline) else {
+            unreachable!()
+        };
         r.idempotency_hash = Some(tag);
-        sent_to(&host.tell(Event::Request(r)))
+        sent_to(&host.handle(Event::Request(r)))
     };
     let racks = |outcome: Option<Outcome>| {
         let (mut host, _) = with_a_keyed_job(Group::Cell);
         let first = rack_of(&tagged(&mut host, 2, 7).expect("sent"));
         if let Some(outcome) = outcome {
-            host.tell(Event::ClientGone(RequestId(2)));
-            host.tell(ended(2, 0, outcome, true, None));
+            host.handle(Event::ClientGone(RequestId(2)));
+            host.handle(outcome_event(2, 0, outcome, true, None));
         }
         let later: Vec<_> = (10..30).map(|id| rack_of(&tagged(&mut host, id, 7).expect("sent"))).collect();
         later.into_iter().filter(|rack| *rack != first).count()
@@ -540,7 +552,7 @@
     assert_eq!(racks(Some(Outcome::Served)), 0);
     // The first of the later ones decides for the others.
     let (mut host, first) = with_a_keyed_job(Group::Cell);
-    host.tell(ended(1, 0, Outcome::ConnectionLost, true, None));
+    host.handle(outcome_event(1, 0, Outcome::ConnectionLost, true, None));
     assert!((10..30).any(|id| tagged(&mut host, id, id).is_some_and(|to| rack_of(&to) != rack_of(&first))));
 }
 
@@ -553,10 +565,10 @@
 fn a_keyed_job_that_may_have_run_is_refused_only_while_its_repeat_is_dropped() {
     for (ms, refused) in [(100.0, true), (450.0, true), (520.0, false), (1_500.0, false)] {
         let (mut host, _) = with_a_keyed_job(Group::All);
-        host.ms += ms;
+        host.now_ms += ms;
         let mut out = Vec::new();
         for attempt in 0..3 {
-            out.extend(host.tell(ended(1, attempt, Outcome::Error, false, None)));
+            out.extend(host.handle(outcome_event(1, attempt, Outcome::Error, false, None)));
         }
         let said = out.iter().any(|a| matches!(a, Action::Refuse { .. }));
         assert!(said == refused && (refused || fails(&out, 1)), "{ms}: {out:?}");
@@ -568,10 +580,10 @@
     let mut host = Host::new(settings(&[Effect::Safe]), 6);
     let mut timers = 0;
     for id in 0..20_000 {
-        host.ms += 5.0;
-        let out = host.ask(id, 0, Some(&format!("once{id}")));
+        host.now_ms += 5.0;
+        let out = host.submit(id, 0, Some(&format!("once{id}")));
         timers += out.iter().filter(|a| matches!(a, Action::SetTimer { .. })).count();
-        serve(&mut host, id, free(6.0));
+        serve(&mut host, id, free_slots_report(6.0));
     }
     assert!(timers <= 40_000, "{timers}");
 }
@@ -582,9 +594,15 @@
         let mut host = Host::new(settings(&[Effect::Safe, Effect::Unsafe]), 9);
         let mut all = Vec::new();
         for id in 0..400 {
-            host.ms += 7.0;
-            all.extend(host.ask(id, (id % 2) as usize, (id % 3 > 0).then_some("k")));
-            all.extend(host.tell(ended(id, 0, Outcome::Served, true, free((id % 9) as f64))));
+            host.now_ms += 7.0;
+            all.extend(host.submit(id, (id % 2) as usize, (id % 3 > 0).then_some("k")));
+            all.extend(host.handle(outcome_event(
+                id,
+                0,
+                Outcome::Served,
+                true,
+                free_slots_report((id % 9) as f64),
+            )));
         }
         all
     };
@@ -603,11 +621,11 @@
         let (zone, kind) = (s.zone.clone(), s.kinds[0].clone());
         let mut host = Host::new(s, 0);
         let entry = |at| Listing { zone: zone.clone(), kind: kind.clone(), ..listing(at) };
-        let mut all = host.tell(list(ListScope::Complete, (0..9).map(entry).collect()));
+        let mut all = host.handle(list_event(ListScope::Complete, (0..9).map(entry).collect()));
         for id in 0..300 {
-            host.ms += 9.0;
-            all.extend(host.ask(id, (id % 2) as usize, Some(&format!("k{}", id % 5))));
-            all.extend(host.tell(ended(id, 0, Outcome::Served, true, None)));
+            host.now_ms += 9.0;
+            all.extend(host.submit(id, (id % 2) as usize, Some(&format!("k{}", id % 5))));
+            all.extend(host.handle(outcome_event(id, 0, Outcome::Served, true, None)));
         }
         all
     };
@@ -618,14 +636,14 @@
 fn unknown_requests_and_attempts_are_ignored() {
     let mut host = Host::new(settings(&[Effect::Safe]), 2);
     let quiet = |out: Vec<Action>| out.iter().all(|a| matches!(a, Action::SetTimer { .. }));
-    assert!(quiet(host.tell(ended(77, 3, Outcome::Served, true, None))));
-    assert!(quiet(host.tell(Event::ClientGone(RequestId(5)))));
-    assert!(quiet(host.tell(Event::AttemptUpdate {
+    assert!(quiet(host.handle(outcome_event(77, 3, Outcome::Served, true, None))));
+    assert!(quiet(host.handle(Event::ClientGone(RequestId(5)))));
+    assert!(quiet(host.handle(Event::AttemptUpdate {
         request: RequestId(9),
         attempt: 4,
         update: AttemptUpdate::Started
     })));
-    assert!(quiet(host.tell(Event::StreamStarted { request: RequestId(9), attempt: 0 })));
+    assert!(quiet(host.handle(Event::StreamStarted { request: RequestId(9), attempt: 0 })));
 }
 
 #[test]
@@ -648,13 +666,13 @@
     let mut s = settings(&[Effect::Safe]);
     s.discovery = Discovery::Subscribe;
     let mut host = Host::new(s, 2);
-    let (mut last, mut asks) = (host.ms, 0);
+    let (mut last, mut asks) = (host.now_ms, 0);
     for _ in 0..600 {
-        host.ms += 100.0;
-        if host.tell(Event::Timer(0)).contains(&Action::Subscribe) {
-            assert!(host.ms - last <= 10_000.0, "unasked for {} ms", host.ms - last);
-            (last, asks) = (host.ms, asks + 1);
-            host.tell(list(ListScope::Failed, Vec::new()));
+        host.now_ms += 100.0;
+        if host.handle(Event::Timer(0)).contains(&Action::Subscribe) {
+            assert!(host.now_ms - last <= 10_000.0, "unasked for {} ms", host.now_ms - last);
+            (last, asks) = (host.now_ms, asks + 1);
+            host.handle(list_event(ListScope::Failed, Vec::new()));
         }
     }
     assert!((6..60).contains(&asks), "{asks} calls in a minute");
@@ -667,10 +685,10 @@
     let mut s = settings(&[Effect::Safe]);
     (s.reporting, s.dispatchers) = (Reporting::Probe, 100);
     let mut host = Host::new(s, 0);
-    host.ms += 300.0;
-    let actions = host.tell(list(ListScope::Complete, (0..60).map(listing).collect()));
+    host.now_ms += 300.0;
+    let actions = host.handle(list_event(ListScope::Complete, (0..60).map(listing).collect()));
     assert!(!actions.iter().any(|a| matches!(a, Action::Probe(_))), "{actions:?}");
-    let asked = host.ask(1, 0, Some("k"));
+    let asked = host.submit(1, 0, Some("k"));
     assert!(asked.iter().any(|a| matches!(a, Action::Probe(_))), "what a job looks at is still probed");
 }
 
@@ -680,25 +698,29 @@
     let mut s = settings(&[Effect::Unsafe]);
     (s.reporting, s.dispatchers) = (Reporting::Probe, 100);
     let mut host = Host::new(s, 8);
-    let mut actions = host.ask(1, 0, Some("k"));
+    let mut actions = host.submit(1, 0, Some("k"));
     assert!(sent_to(&actions).is_none(), "{actions:?}");
     // The first one looked at is full; the others are not.
     let (outcome, latency, mut full) = (Outcome::Served, Span::from_ms(2.0), None);
     while sent_to(&actions).is_none() {
         for action in std::mem::take(&mut actions) {
             let Action::Probe(worker) = action else { continue };
-            let load = if *full.get_or_insert(worker.clone()) == worker { free(0.0) } else { free(4.0) };
-            actions.extend(host.tell(Event::Probed { worker, outcome, latency, load }));
+            let load = if *full.get_or_insert(worker.clone()) == worker {
+                free_slots_report(0.0)
+            } else {
+                free_slots_report(4.0)
+            };
+            actions.extend(host.handle(Event::Probed { worker, outcome, latency, load }));
         }
-        host.ms += 25.0;
-        assert!(host.ms < 1_200.0, "it waits for too long");
-        actions.extend(host.tell(Event::Timer(0)));
+        host.now_ms += 25.0;
+        assert!(host.now_ms < 1_200.0, "it waits for too long");
+        actions.extend(host.handle(Event::Timer(0)));
     }
     assert_ne!(sent_to(&actions), full.map(|worker| worker.to_string()));
     // Nor does it wait for ever: no answer at all, and it goes out all the same.
-    assert!(sent_to(&host.ask(2, 0, Some("other"))).is_none());
-    host.ms += 100.0;
-    assert!(sent_to(&host.tell(Event::Timer(0))).is_some());
+    assert!(sent_to(&host.submit(2, 0, Some("other"))).is_none());
+    host.now_ms += 100.0;
+    assert!(sent_to(&host.handle(Event::Timer(0))).is_some());
 }
 
 /// After a release a probe finds out who is gone for less than a job's attempt.
@@ -707,11 +729,11 @@
     let mut s = settings(&[Effect::Safe]);
     s.reporting = Reporting::Probe;
     let mut host = Host::new(s, 2);
-    let first = sent_to(&host.ask(0, 0, Some("k"))).expect("sent");
+    let first = sent_to(&host.submit(0, 0, Some("k"))).expect("sent");
     serve(&mut host, 0, None);
     let (worker, latency) = (Name::from(first.as_str()), Span::from_ms(1.0));
-    host.tell(Event::Probed { worker, outcome: Outcome::NoConnection, latency, load: None });
-    assert_ne!(sent_to(&host.ask(1, 0, Some("k"))), Some(first));
+    host.handle(Event::Probed { worker, outcome: Outcome::NoConnection, latency, load: None });
+    assert_ne!(sent_to(&host.submit(1, 0, Some("k"))), Some(first));
 }
 
 /// Discovery works through one call after another. Many that ask again within a second keep its queue full, and
@@ -721,12 +743,12 @@
     let mut s = settings(&[Effect::Safe]);
     (s.discovery, s.dispatchers) = (Discovery::Subscribe, 100);
     let mut host = Host::new(s, 2);
-    let (mut asked, start) = (0, host.ms);
-    while host.ms < start + 60_000.0 {
-        host.ms += 50.0;
-        if host.tell(Event::Timer(0)).contains(&Action::Subscribe) {
+    let (mut asked, start) = (0, host.now_ms);
+    while host.now_ms < start + 60_000.0 {
+        host.now_ms += 50.0;
+        if host.handle(Event::Timer(0)).contains(&Action::Subscribe) {
             asked += 1;
-            host.tell(list(ListScope::Failed, Vec::new()));
+            host.handle(list_event(ListScope::Failed, Vec::new()));
         }
     }
     assert!((4..=15).contains(&asked), "{asked} calls in a minute");
@@ -742,22 +764,22 @@
         s.zones.push("there".into());
         let mut host = Host::new(s, 0);
         let entry = |at| Listing { zone: if at < 2 { "here" } else { "there" }.into(), ..listing(at) };
-        host.tell(list(ListScope::Complete, (0..4).map(entry).collect()));
-        host.ms += 1000.0;
+        host.handle(list_event(ListScope::Complete, (0..4).map(entry).collect()));
+        host.now_ms += 1000.0;
         let (mut probed, latency) = (BTreeSet::new(), Span::from_ms(1.0));
         for id in 0..8 {
-            host.ms += 100.0;
-            let mut told = host.ask(id, 0, Some("k"));
+            host.now_ms += 100.0;
+            let mut told = host.submit(id, 0, Some("k"));
             while let Some(action) = told.pop() {
                 let Action::Probe(worker) = action else { continue };
                 probed.insert(worker.to_string());
                 let load = LoadReport { free_slots: Some(0.0), queue: Some(30.0), ..LoadReport::default() };
-                let load = if ["w0", "w1"].contains(&&*worker) { Some(load) } else { free(8.0) };
-                told.extend(host.tell(Event::Probed { worker, outcome: Outcome::Served, latency, load }));
+                let load = if ["w0", "w1"].contains(&&*worker) { Some(load) } else { free_slots_report(8.0) };
+                told.extend(host.handle(Event::Probed { worker, outcome: Outcome::Served, latency, load }));
             }
         }
         assert_eq!(probed.contains("w2") && probed.contains("w3"), asks, "{dispatchers}: {probed:?}");
-        let sent = sent_to(&host.ask(100, 0, Some("k")));
+        let sent = sent_to(&host.submit(100, 0, Some("k")));
         assert!(!asks || sent.as_deref() == Some("w2") || sent.as_deref() == Some("w3"), "{sent:?}");
     }
 }
@@ -768,13 +790,13 @@
     let mut s = settings(&[Effect::Unsafe]);
     (s.reporting, s.dispatchers) = (Reporting::Probe, 100);
     let mut host = Host::new(s, 8);
-    host.ask(1, 0, Some("k"));
-    host.ms += 100.0;
-    assert!(sent_to(&host.tell(Event::Timer(0))).is_some(), "no probe was answered");
-    let after = host.tell(ended(1, 0, Outcome::NoConnection, false, None));
+    host.submit(1, 0, Some("k"));
+    host.now_ms += 100.0;
+    assert!(sent_to(&host.handle(Event::Timer(0))).is_some(), "no probe was answered");
+    let after = host.handle(outcome_event(1, 0, Outcome::NoConnection, false, None));
     assert!(sent_to(&after).is_none(), "{after:?}");
-    host.ms += 100.0;
-    assert!(sent_to(&host.tell(Event::Timer(0))).is_some(), "it waits no longer than for the first");
+    host.now_ms += 100.0;
+    assert!(sent_to(&host.handle(Event::Timer(0))).is_some(), "it waits no longer than for the first");
 }
 
 proptest::proptest! {
@@ -796,32 +818,32 @@
                         listed.clear();
                     }
                     listed.insert(worker, readiness);
-                    host.tell(list(scope, vec![Listing { readiness, ..listing(worker) }]));
+                    host.handle(list_event(scope, vec![Listing { readiness, ..listing(worker) }]));
                 }
                 3 => drop(out.insert(worker)),
                 4 => drop(out.remove(&worker)),
                 _ => out.clear(),
             }
             if what > 2 {
-                let ban = |at: &usize| Ban { worker: format!("w{at}").into(), since: Time::from_ms(host.ms) };
+                let ban = |at: &usize| Ban { worker: format!("w{at}").into(), since: Time::from_ms(host.now_ms) };
                 let bans = out.iter().map(ban).collect();
-                host.tell(Event::Bans(bans));
+                host.handle(Event::Bans(bans));
             }
             // Long enough for a cold one to be warm again.
-            host.ms += 30_000.0;
+            host.now_ms += 30_000.0;
             listed.retain(|_, readiness| *readiness != Readiness::Gone);
             let takes = |at: &usize| listed.get(at) == Some(&Readiness::InService) && !out.contains(at);
-            let sent = sent_to(&host.ask(id as u64, 0, None));
+            let sent = sent_to(&host.submit(id as u64, 0, None));
             let open = (0..4).filter(takes).count();
             proptest::prop_assert_eq!(sent.is_some(), open > 0, "{:?} of {:?} without {:?}", sent, &listed, &out);
             if let Some(name) = sent {
                 proptest::prop_assert!(takes(&name[1..].parse().expect("a number")));
                 serve(&mut host, id as u64, None);
             }
-            proptest::prop_assert_eq!(host.d.worker_counts(), WorkerCounts { known: listed.len(), skipped: listed.len() - open });
+            proptest::prop_assert_eq!(host.dispatcher.worker_counts(), WorkerCounts { known: listed.len(), skipped: listed.len() - open });
             for worker in 0..4 {
                 let known = listed.contains_key(&worker) || out.contains(&worker);
-                proptest::prop_assert_eq!(host.d.knows(&format!("w{worker}")), known);
+                proptest::prop_assert_eq!(host.dispatcher.knows(&format!("w{worker}")), known);
             }
         }
     }
--- a/crates/decisions/tests/order.rs
+++ b/crates/decisions/tests/order.rs
@@ -69,13 +69,13 @@
                 }
             }
             let scope = if complete { ListScope::Complete } else { ListScope::Changes };
-            host.tell(list(scope, entries.values().map(entry).collect()));
-            host.ms += 5_000.0;
+            host.handle(list_event(scope, entries.values().map(entry).collect()));
+            host.now_ms += 5_000.0;
             let key = format!("key-{id}");
-            let sent = sent_to(&host.ask(id, 0, Some(&key)));
+            let sent = sent_to(&host.submit(id, 0, Some(&key)));
             prop_assert_eq!(&sent, &first_by_scan(&in_service, &key));
             if sent.is_some() {
-                host.tell(ended(id, 0, Outcome::Served, true, None));
+                host.handle(outcome_event(id, 0, Outcome::Served, true, None));
             }
         }
     }
--- a/crates/decisions/tests/referee.rs
+++ b/crates/decisions/tests/referee.rs
@@ -157,7 +157,7 @@
             _ => drop(self.left.entry(at).or_insert(self.now)),
         }
         self.count("list changes");
-        list(ListScope::Changes, vec![entry])
+        list_event(ListScope::Changes, vec![entry])
     }
 
     fn outcome(&mut self) -> Option<Event> {
@@ -181,8 +181,12 @@
         (t.out, t.may_have_run) = (false, !outcome.proves_no_run());
         ask.answered |= outcome == Outcome::Served;
         let closed = ask.answered;
-        let load = if self.rng.random_bool(0.5) { free(self.rng.random_range(0..=8) as f64) } else { None };
-        Some(ended(id, attempt, outcome, closed, load))
+        let load = if self.rng.random_bool(0.5) {
+            free_slots_report(self.rng.random_range(0..=8) as f64)
+        } else {
+            None
+        };
+        Some(outcome_event(id, attempt, outcome, closed, load))
     }
 }
 
@@ -201,7 +205,7 @@
         counts: BTreeMap::new(),
     };
     let mut out = Vec::new();
-    d.handle(w.now, list(ListScope::Remembered, w.told.values().cloned().collect()), &mut out);
+    d.handle(w.now, list_event(ListScope::Remembered, w.told.values().cloned().collect()), &mut out);
     w.referee(std::mem::take(&mut out));
     for step in 0..4000u64 {
         w.now = w.now + Span::from_ms(4.0);
@@ -218,16 +222,16 @@
                 let deadline = w.now + Span::from_ms(w.rng.random_range(2.0..3000.0));
                 w.asks.insert(step, Ask { class, deadline, answered: false, tries: Vec::new() });
                 let key = format!("k{}", w.rng.random_range(0..6));
-                Some(request(step, class, w.rng.random_bool(0.9).then_some(key.as_str()), deadline))
+                Some(request_event(step, class, w.rng.random_bool(0.9).then_some(key.as_str()), deadline))
             }
             8..=15 => w.outcome(),
             16 => Some(w.change_list()),
             17 => {
                 let complete: Vec<Listing> =
                     w.told.values().filter(|l| l.readiness != Readiness::Gone).cloned().collect();
-                Some(list(ListScope::Complete, complete))
+                Some(list_event(ListScope::Complete, complete))
             }
-            18 => Some(list(ListScope::Failed, Vec::new())),
+            18 => Some(list_event(ListScope::Failed, Vec::new())),
             _ => {
                 let id = w.rng.random_range(0..step.max(1));
                 w.asks.get(&id).filter(|a| !a.tries.is_empty()).map(|a| Event::AttemptUpdate {
@@ -276,8 +280,11 @@
                 let mut s = settings(&[Effect::Safe]);
                 (s.dispatcher_index, s.dispatchers) = (me, dispatchers);
                 let mut host = Host::new(s, 0);
-                host.ms = start.ms();
-                host.tell(list(ListScope::Complete, vec![Listing { started: Some(start), ..listing(0) }]));
+                host.now_ms = start.ms();
+                host.handle(list_event(
+                    ListScope::Complete,
+                    vec![Listing { started: Some(start), ..listing(0) }],
+                ));
                 host
             })
             .collect();
@@ -285,11 +292,11 @@
         for step in 0..1000 {
             let ms = start.ms() + step as f64 * 20.0;
             for host in &mut hosts {
-                host.ms = ms;
+                host.now_ms = ms;
                 id += 1;
-                if sent_to(&host.ask(id, 0, None)).is_some() {
+                if sent_to(&host.submit(id, 0, None)).is_some() {
                     sends.push(ms);
-                    host.tell(ended(id, 0, Outcome::Served, true, None));
+                    host.handle(outcome_event(id, 0, Outcome::Served, true, None));
                 }
             }
         }
