--- a/crates/decisions/tests/referee.rs
+++ b/crates/decisions/tests/referee.rs
@@ -1,4 +1,4 @@
-//! A referee of the four rules over seeded random event sequences: every action is checked when it is taken.
+//! Checks the four rules of [`Rules`] over seeded random event sequences, action by action.
 
 mod common;
 
@@ -9,140 +9,167 @@
 use rookspoke_decisions::*;
 
 #[derive(Clone)]
-struct Try {
+struct Attempt {
     worker: usize,
     sent: Time,
-    out: bool,
+    pending: bool,
     may_have_run: bool,
 }
 
-struct Ask {
+struct RequestRecord {
     class: usize,
     deadline: Time,
     answered: bool,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
 }
 
-struct World {
-    s: Settings,
+struct RuleChecker {
+    settings: Settings,
     now: Time,
     rng: SmallRng,
-    told: BTreeMap<usize, Listing>,
-    left: BTreeMap<usize, Time>,
-    asks: BTreeMap<u64, Ask>,
+    listed: BTreeMap<usize, Listing>,
+    /// When each worker that is not in service left service.
+    draining_since: BTreeMap<usize, Time>,
+    requests: BTreeMap<u64, RequestRecord>,
     timers: Vec<Time>,
-    cold_sends: BTreeMap<usize, Vec<Time>>,
+    slow_start_sends: BTreeMap<usize, Vec<Time>>,
+    /// How often each kind of action or event occurred.
     counts: BTreeMap<&'static str, u32>,
 }
 
-fn number(worker: &str) -> usize {
+fn worker_index(worker: &str) -> usize {
     worker[1..].parse().expect("a worker of this test")
 }
 
-impl World {
+impl RuleChecker {
     fn count(&mut self, what: &'static str) {
         *self.counts.entry(what).or_default() += 1;
     }
 
-    fn referee(&mut self, actions: Vec<Action>) {
+    fn check_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { request, worker, .. } => self.referee_send(request.0, number(&worker)),
+                Action::Send { request, worker, .. } => self.check_send(request.0, worker_index(&worker)),
                 Action::Cancel { request, attempt } => {
-                    assert!(self.s.limits.cancel, "cancel is not permitted");
-                    assert!(attempt < self.asks[&request.0].tries.len(), "no such attempt");
+                    assert!(self.settings.limits.cancel, "Cancel though cancellation is not permitted");
+                    assert!(
+                        attempt < self.requests[&request.0].attempts.len(),
+                        "Cancel of an attempt that was not sent"
+                    );
                 }
                 Action::Refuse { request, .. } => {
-                    let ask = self.asks.get_mut(&request.0).expect("a known request");
-                    assert!(!ask.answered, "rule 1: answered twice");
-                    // A client's new try comes up to `max_retry_after` later, with the same key.
-                    let again = self.now + self.s.limits.max_retry_after;
-                    let repeatable = |t: &Try| match self.s.classes[ask.class].effect {
+                    let record = self.requests.get_mut(&request.0).expect("a known request");
+                    assert!(!record.answered, "rule 1: answered twice");
+                    // The client may retry up to `max_retry_after` later, with the same key.
+                    let retry_at = self.now + self.settings.limits.max_retry_after;
+                    let repeatable = |attempt: &Attempt| match self.settings.classes[record.class].effect {
                         Effect::Safe => true,
-                        Effect::Keyed { group, window } => group == Group::All && again - t.sent <= window,
+                        Effect::Keyed { group, window } => {
+                            group == Group::All && retry_at - attempt.sent <= window
+                        }
                         Effect::Unsafe => false,
                     };
-                    let mut ran = ask.tries.iter().filter(|t| t.out || t.may_have_run);
-                    assert!(ran.all(repeatable), "rule 2: refused though it may have run");
-                    ask.answered = true;
+                    let mut ran =
+                        record.attempts.iter().filter(|attempt| attempt.pending || attempt.may_have_run);
+                    assert!(
+                        ran.all(repeatable),
+                        "rule 2: refused though it may have run and a repeat is not safe"
+                    );
+                    record.answered = true;
                     self.count("refused");
                 }
                 Action::Fail { request, .. } => {
-                    let ask = self.asks.get_mut(&request.0).expect("a known request");
-                    assert!(!ask.answered, "rule 1: answered twice");
-                    ask.answered = true;
+                    let record = self.requests.get_mut(&request.0).expect("a known request");
+                    assert!(!record.answered, "rule 1: answered twice");
+                    record.answered = true;
                     self.count("failed");
                 }
                 Action::SetTimer { at, .. } => self.timers.push(at),
                 Action::Probe(worker) => {
-                    assert!(self.told.contains_key(&number(&worker)), "probe of a worker never listed");
+                    assert!(
+                        self.listed.contains_key(&worker_index(&worker)),
+                        "probe of a worker that was never listed"
+                    );
                 }
                 _ => {}
             }
         }
     }
 
-    fn referee_send(&mut self, id: u64, worker: usize) {
-        let ask = self.asks.get_mut(&id).expect("a known request");
-        assert!(!ask.answered && self.now < ask.deadline, "rule 1: sent after the end");
-        assert!(ask.tries.len() < self.s.limits.max_attempts, "rule 1: too many attempts");
-        let out = ask.tries.iter().any(|t| t.out);
-        assert!(!out || self.s.limits.second_copies, "rule 2: two attempts out");
-        let told = self.told.get(&worker).expect("a listed worker");
-        for t in ask.tries.iter().filter(|t| t.out || t.may_have_run) {
-            match self.s.classes[ask.class].effect {
+    fn check_send(&mut self, id: u64, worker: usize) {
+        let record = self.requests.get_mut(&id).expect("a known request");
+        assert!(
+            !record.answered && self.now < record.deadline,
+            "rule 1: sent after the answer or the deadline"
+        );
+        assert!(record.attempts.len() < self.settings.limits.max_attempts, "rule 1: too many attempts");
+        let pending = record.attempts.iter().any(|attempt| attempt.pending);
+        assert!(!pending || self.settings.limits.second_copies, "rule 2: two attempts pending");
+        let listed = self.listed.get(&worker).expect("a listed worker");
+        for attempt in record.attempts.iter().filter(|attempt| attempt.pending || attempt.may_have_run) {
+            match self.settings.classes[record.class].effect {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("rule 2: an unsafe request sent again"),
                 Effect::Keyed { group, window } => {
-                    let first = &self.told[&t.worker];
+                    let first = &self.listed[&attempt.worker];
                     let same = match group {
                         Group::All => true,
-                        Group::Zone => first.zone == told.zone,
-                        Group::Cell => first.cell == told.cell,
+                        Group::Zone => first.zone == listed.zone,
+                        Group::Cell => first.cell == listed.cell,
                     };
-                    assert!(same, "rule 2: a keyed request left its group");
-                    assert!(self.now - t.sent <= window, "rule 2: a keyed request outlived its window");
+                    assert!(same, "rule 2: a keyed request was repeated outside its group");
+                    assert!(
+                        self.now - attempt.sent <= window,
+                        "rule 2: a keyed request was repeated after its window"
+                    );
                 }
             }
         }
-        if let Some(left) = self.left.get(&worker) {
-            assert!(self.now - *left <= self.s.rules.drain_grace, "rule 3: sent to a draining worker");
+        if let Some(since) = self.draining_since.get(&worker) {
+            assert!(
+                self.now - *since <= self.settings.rules.drain_grace,
+                "rule 3: sent to a draining worker"
+            );
         }
-        ask.tries.push(Try { worker, sent: self.now, out: true, may_have_run: false });
-        let repeat = ask.tries.len() > 1;
+        record.attempts.push(Attempt { worker, sent: self.now, pending: true, may_have_run: false });
+        let repeat = record.attempts.len() > 1;
         self.count(if repeat { "sent again" } else { "sent" });
-        self.referee_cold(worker);
+        self.check_slow_start(worker);
     }
 
-    /// Rule 4 with every job as long as the module's mean (all outcomes of this test take 400 ms).
-    fn referee_cold(&mut self, worker: usize) {
-        let rules = self.s.rules;
-        let Some(started) = self.told[&worker].started.filter(|at| self.now - *at < rules.ramp) else {
+    /// Checks rule 4. Every job takes 400 ms, as all outcomes of these tests do, which is therefore the mean.
+    fn check_slow_start(&mut self, worker: usize) {
+        let rules = self.settings.rules;
+        let Some(started) = self.listed[&worker].started.filter(|at| self.now - *at < rules.ramp) else {
             return;
         };
-        let part = (self.now - started).secs() / rules.ramp.secs();
+        let ramp_fraction = (self.now - started).secs() / rules.ramp.secs();
         let now = self.now;
-        let sends = self.cold_sends.entry(worker).or_default();
+        let sends = self.slow_start_sends.entry(worker).or_default();
         sends.retain(|at| now - *at < rules.overload_window && *at >= started);
         sends.push(now);
         let work = sends.len() as f64 * 0.4;
-        let budget =
-            rules.overload_multiple * (rules.initial_capacity + (1.0 - rules.initial_capacity) * part) * 8.0;
-        assert!(work <= (budget * rules.overload_window.secs()).max(0.4), "rule 4: {work} over {budget}");
-        self.count("sent cold");
+        let budget = rules.overload_multiple
+            * (rules.initial_capacity + (1.0 - rules.initial_capacity) * ramp_fraction)
+            * 8.0;
+        assert!(
+            work <= (budget * rules.overload_window.secs()).max(0.4),
+            "rule 4: {work} s of work with a budget of {budget} s per second"
+        );
+        self.count("sent in slow start");
     }
 
-    fn answers_in_time(&self) {
-        for (id, ask) in &self.asks {
-            let limit = ask.deadline + self.s.rules.answer_slack;
-            assert!(ask.answered || self.now <= limit, "rule 1: {id} has no answer");
+    fn check_deadlines(&self) {
+        for (id, record) in &self.requests {
+            let limit = record.deadline + self.settings.rules.answer_slack;
+            assert!(record.answered || self.now <= limit, "rule 1: request {id} has no answer");
         }
     }
 
-    /// Changes a worker at random and tells of it, late or at once.
+    /// Changes the state of a random worker, whose start may lie up to 3 s back, and returns the list event.
     fn change_list(&mut self) -> Event {
-        let at = self.rng.random_range(0..12);
-        let mut entry = self.told.get(&at).cloned().unwrap_or_else(|| listing(at));
+        let worker = self.rng.random_range(0..12);
+        let mut entry = self.listed.get(&worker).cloned().unwrap_or_else(|| listing(worker));
         match self.rng.random_range(0..4) {
             0 => entry.readiness = Readiness::Draining,
             1 => entry.readiness = Readiness::Gone,
@@ -151,22 +178,26 @@
                 entry.started = Some(self.now - Span::from_ms(self.rng.random_range(0.0..3000.0)));
             }
         }
-        self.told.insert(at, entry.clone());
+        self.listed.insert(worker, entry.clone());
         match entry.readiness {
-            Readiness::InService => drop(self.left.remove(&at)),
-            _ => drop(self.left.entry(at).or_insert(self.now)),
+            Readiness::InService => drop(self.draining_since.remove(&worker)),
+            _ => drop(self.draining_since.entry(worker).or_insert(self.now)),
         }
         self.count("list changes");
         list_event(ListScope::Changes, vec![entry])
     }
 
     fn outcome(&mut self) -> Option<Event> {
-        let open: Vec<(u64, usize)> = self
-            .asks
+        let pending: Vec<(u64, usize)> = self
+            .requests
             .iter()
-            .flat_map(|(id, a)| (0..a.tries.len()).filter(|t| a.tries[*t].out).map(|t| (*id, t)))
+            .flat_map(|(id, record)| {
+                (0..record.attempts.len())
+                    .filter(|attempt| record.attempts[*attempt].pending)
+                    .map(|attempt| (*id, attempt))
+            })
             .collect();
-        let (id, attempt) = *open.get(self.rng.random_range(0..open.len().max(1)))?;
+        let (id, attempt) = *pending.get(self.rng.random_range(0..pending.len().max(1)))?;
         let outcome = match self.rng.random_range(0..12) {
             0..=4 => Outcome::Served,
             5 => Outcome::Error,
@@ -176,11 +207,11 @@
             10 => Outcome::ConnectionLost,
             _ => Outcome::Cancelled,
         };
-        let ask = self.asks.get_mut(&id)?;
-        let t = &mut ask.tries[attempt];
-        (t.out, t.may_have_run) = (false, !outcome.proves_no_run());
-        ask.answered |= outcome == Outcome::Served;
-        let closed = ask.answered;
+        let record = self.requests.get_mut(&id)?;
+        let ended = &mut record.attempts[attempt];
+        (ended.pending, ended.may_have_run) = (false, !outcome.proves_no_run());
+        record.answered |= outcome == Outcome::Served;
+        let closed = record.answered;
         let load = if self.rng.random_bool(0.5) {
             free_slots_report(self.rng.random_range(0..=8) as f64)
         } else {
@@ -190,96 +221,113 @@
     }
 }
 
-fn play(seed: u64, s: Settings) -> BTreeMap<&'static str, u32> {
-    let mut d = Dispatcher::new(s.clone(), seed).expect("settings");
-    let told: BTreeMap<usize, Listing> = (0..12).map(|at| (at, listing(at))).collect();
-    let mut w = World {
-        s,
+fn run_random_events(seed: u64, settings: Settings) -> BTreeMap<&'static str, u32> {
+    let mut dispatcher = Dispatcher::new(settings.clone(), seed).expect("valid settings");
+    let listed: BTreeMap<usize, Listing> = (0..12).map(|index| (index, listing(index))).collect();
+    let mut checker = RuleChecker {
+        settings,
         now: Time::from_ms(500.0),
         rng: SmallRng::seed_from_u64(seed),
-        told,
-        left: BTreeMap::new(),
-        asks: BTreeMap::new(),
+        listed,
+        draining_since: BTreeMap::new(),
+        requests: BTreeMap::new(),
         timers: Vec::new(),
-        cold_sends: BTreeMap::new(),
+        slow_start_sends: BTreeMap::new(),
         counts: BTreeMap::new(),
     };
-    let mut out = Vec::new();
-    d.handle(w.now, list_event(ListScope::Remembered, w.told.values().cloned().collect()), &mut out);
-    w.referee(std::mem::take(&mut out));
+    let mut actions = Vec::new();
+    dispatcher.handle(
+        checker.now,
+        list_event(ListScope::Remembered, checker.listed.values().cloned().collect()),
+        &mut actions,
+    );
+    checker.check_actions(std::mem::take(&mut actions));
     for step in 0..4000u64 {
-        w.now = w.now + Span::from_ms(4.0);
-        let due = w.timers.iter().filter(|at| **at <= w.now).count();
-        w.timers.retain(|at| *at > w.now);
+        checker.now = checker.now + Span::from_ms(4.0);
+        let due = checker.timers.iter().filter(|at| **at <= checker.now).count();
+        checker.timers.retain(|at| *at > checker.now);
         for _ in 0..due {
-            d.handle(w.now, Event::Timer(0), &mut out);
-            w.referee(std::mem::take(&mut out));
+            dispatcher.handle(checker.now, Event::Timer(0), &mut actions);
+            checker.check_actions(std::mem::take(&mut actions));
         }
-        w.answers_in_time();
-        let event = match w.rng.random_range(0..20) {
+        checker.check_deadlines();
+        let event = match checker.rng.random_range(0..20) {
             0..=7 => {
-                let class = w.rng.random_range(0..w.s.classes.len());
-                let deadline = w.now + Span::from_ms(w.rng.random_range(2.0..3000.0));
-                w.asks.insert(step, Ask { class, deadline, answered: false, tries: Vec::new() });
-                let key = format!("k{}", w.rng.random_range(0..6));
-                Some(request_event(step, class, w.rng.random_bool(0.9).then_some(key.as_str()), deadline))
+                let class = checker.rng.random_range(0..checker.settings.classes.len());
+                let deadline = checker.now + Span::from_ms(checker.rng.random_range(2.0..3000.0));
+                checker
+                    .requests
+                    .insert(step, RequestRecord { class, deadline, answered: false, attempts: Vec::new() });
+                let key = format!("k{}", checker.rng.random_range(0..6));
+                Some(request_event(
+                    step,
+                    class,
+                    checker.rng.random_bool(0.9).then_some(key.as_str()),
+                    deadline,
+                ))
             }
-            8..=15 => w.outcome(),
-            16 => Some(w.change_list()),
+            8..=15 => checker.outcome(),
+            16 => Some(checker.change_list()),
             17 => {
-                let complete: Vec<Listing> =
-                    w.told.values().filter(|l| l.readiness != Readiness::Gone).cloned().collect();
+                let complete: Vec<Listing> = checker
+                    .listed
+                    .values()
+                    .filter(|entry| entry.readiness != Readiness::Gone)
+                    .cloned()
+                    .collect();
                 Some(list_event(ListScope::Complete, complete))
             }
             18 => Some(list_event(ListScope::Failed, Vec::new())),
             _ => {
-                let id = w.rng.random_range(0..step.max(1));
-                w.asks.get(&id).filter(|a| !a.tries.is_empty()).map(|a| Event::AttemptUpdate {
-                    request: RequestId(id),
-                    attempt: a.tries.len() - 1,
-                    update: AttemptUpdate::Started,
+                let id = checker.rng.random_range(0..step.max(1));
+                checker.requests.get(&id).filter(|record| !record.attempts.is_empty()).map(|record| {
+                    Event::AttemptUpdate {
+                        request: RequestId(id),
+                        attempt: record.attempts.len() - 1,
+                        update: AttemptUpdate::Started,
+                    }
                 })
             }
         };
         if let Some(event) = event {
-            d.handle(w.now, event, &mut out);
-            w.referee(std::mem::take(&mut out));
+            dispatcher.handle(checker.now, event, &mut actions);
+            checker.check_actions(std::mem::take(&mut actions));
         }
     }
-    w.counts
+    checker.counts
 }
 
 #[test]
-fn rules_hold_over_random_days() {
+fn the_rules_hold_over_random_events() {
     let window = Span::from_ms(900.0);
     let keyed = |group| Effect::Keyed { group, window };
     let effects = [Effect::Safe, Effect::Unsafe, keyed(Group::All), keyed(Group::Zone), keyed(Group::Cell)];
-    let mut seen: BTreeMap<&'static str, u32> = BTreeMap::new();
+    let mut totals: BTreeMap<&'static str, u32> = BTreeMap::new();
     for seed in 0..24 {
-        let mut s = settings(&effects);
-        s.limits.second_copies = seed % 2 == 0;
-        s.limits.cancel = seed % 3 != 0;
-        s.limits.max_retry_after = Span::from_ms(if seed % 2 == 0 { 100.0 } else { 2000.0 });
-        s.discovery = if seed % 4 < 2 { Discovery::Automatic } else { Discovery::Subscribe };
-        s.reporting = if seed % 5 == 0 { Reporting::Probe } else { Reporting::Answers };
-        for (what, n) in play(seed, s) {
-            *seen.entry(what).or_default() += n;
+        let mut settings = settings(&effects);
+        settings.limits.second_copies = seed % 2 == 0;
+        settings.limits.cancel = seed % 3 != 0;
+        settings.limits.max_retry_after = Span::from_ms(if seed % 2 == 0 { 100.0 } else { 2000.0 });
+        settings.discovery = if seed % 4 < 2 { Discovery::Automatic } else { Discovery::Subscribe };
+        settings.reporting = if seed % 5 == 0 { Reporting::Probe } else { Reporting::Answers };
+        for (what, count) in run_random_events(seed, settings) {
+            *totals.entry(what).or_default() += count;
         }
     }
-    for what in ["sent", "sent again", "sent cold", "refused", "failed", "list changes"] {
-        assert!(seen.get(what).is_some_and(|n| *n > 50), "{what} hardly seen: {seen:?}");
+    for what in ["sent", "sent again", "sent in slow start", "refused", "failed", "list changes"] {
+        assert!(totals.get(what).is_some_and(|count| *count > 50), "{what} occurs too rarely: {totals:?}");
     }
 }
 
 #[test]
-fn all_dispatchers_together_stay_within_a_cold_workers_budget() {
+fn all_dispatchers_together_stay_within_the_budget_of_a_worker_in_slow_start() {
     for dispatchers in [1, 7, 40, 150] {
         let start = Time::from_ms(10_000.0);
         let mut hosts: Vec<Host> = (0..dispatchers)
-            .map(|me| {
-                let mut s = settings(&[Effect::Safe]);
-                (s.dispatcher_index, s.dispatchers) = (me, dispatchers);
-                let mut host = Host::new(s, 0);
+            .map(|index| {
+                let mut settings = settings(&[Effect::Safe]);
+                (settings.dispatcher_index, settings.dispatchers) = (index, dispatchers);
+                let mut host = Host::new(settings, 0);
                 host.now_ms = start.ms();
                 host.handle(list_event(
                     ListScope::Complete,
@@ -300,13 +348,17 @@
                 }
             }
         }
-        assert!(sends.len() > 20, "{dispatchers}: a cold worker gets work: {}", sends.len());
-        for (at, from) in sends.iter().enumerate() {
-            let work = sends[at..].iter().take_while(|ms| **ms < from + 1000.0).count() as f64 * 0.4;
-            let share = 0.14 + 0.86 * (from - start.ms()) / 20_000.0;
+        assert!(
+            sends.len() > 20,
+            "{dispatchers} dispatchers: a worker in slow start gets only {} jobs",
+            sends.len()
+        );
+        for (index, from) in sends.iter().enumerate() {
+            let work = sends[index..].iter().take_while(|ms| **ms < from + 1000.0).count() as f64 * 0.4;
+            let fraction = 0.14 + 0.86 * (from - start.ms()) / 20_000.0;
             assert!(
-                work <= 3.0 * share * 8.0,
-                "{dispatchers}: {work} s of work in a second at share {share}"
+                work <= 3.0 * fraction * 8.0,
+                "{dispatchers} dispatchers: {work} s of work in a second at {fraction} of the capacity"
             );
         }
     }
