--- a/crates/rig/src/routes.rs
+++ b/crates/rig/src/routes.rs
@@ -4,7 +4,7 @@
 
 use rookspoke_decisions::Span;
 use rookspoke_emulator::model::draw_affected;
-use rookspoke_emulator::scenario::{Disturbance, Faults, Party, Scenario, Trouble};
+use rookspoke_emulator::scenario::{Endpoint, Faults, IncidentKind, LinkIncident, Scenario};
 
 /// A route between two parties. Dispatchers whose routes to log workers have the same link incidents form a group and
 /// share one link to each log worker: with a cut between two zones, 300 dispatchers need two links to each log worker
@@ -27,7 +27,7 @@
     /// The link incidents of each route, as indices into `link_incidents`.
     pub incidents_by_route: BTreeMap<Route, Vec<usize>>,
     /// All link incidents: those of the script, then the cuts between zones.
-    pub link_incidents: Vec<Disturbance>,
+    pub link_incidents: Vec<LinkIncident>,
 }
 
 /// The rig counts a notification by discovery as delivered after this time, whether or not it arrived.
@@ -40,18 +40,18 @@
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         let (dispatchers, workers, zones) =
             (scenario.count("dispatchers"), scenario.count("workers"), scenario.count("zones"));
-        let mut link_incidents = scenario.disturbances.clone();
-        for incident in scenario.incidents.iter().filter(|incident| incident.trouble == Trouble::ZoneCut) {
+        let mut link_incidents = scenario.link_incidents.clone();
+        for incident in scenario.incidents.iter().filter(|incident| incident.kind == IncidentKind::ZoneCut) {
             let cut = Faults { cut: true, ..Faults::default() };
             let pairs = (0..zones).flat_map(|a| (0..zones).map(move |b| (a, b))).filter(|(a, b)| a != b);
-            link_incidents.extend(pairs.map(|(a, b)| Disturbance {
+            link_incidents.extend(pairs.map(|(a, b)| LinkIncident {
                 at: incident.at,
                 length: incident.length,
-                from: Party::Dispatchers(Some(a)),
-                to: Party::Workers(Some(b)),
+                from: Endpoint::Dispatchers(Some(a)),
+                to: Endpoint::Workers(Some(b)),
                 part: 1.0,
-                there: cut,
-                back: cut,
+                forward: cut,
+                backward: cut,
             }));
         }
         let from: Vec<Vec<usize>> =
@@ -61,7 +61,7 @@
             .enumerate()
             .map(|(number, incident)| {
                 let party_count = match incident.to {
-                    Party::Dispatchers(_) | Party::Dispatcher(_) => dispatchers,
+                    Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_) => dispatchers,
                     _ => workers,
                 };
                 let candidates = members(incident.to, party_count, zones);
@@ -70,7 +70,7 @@
             })
             .collect();
         let leads_to_workers =
-            |number: &usize| matches!(link_incidents[*number].to, Party::Workers(_) | Party::Worker(_));
+            |number: &usize| matches!(link_incidents[*number].to, Endpoint::Workers(_) | Endpoint::Worker(_));
         // Dispatchers form a group if the same link incidents to log workers begin at them.
         let signature = |dispatcher: usize| -> Vec<usize> {
             (0..link_incidents.len())
@@ -91,18 +91,18 @@
         let mut incidents_by_route: BTreeMap<Route, Vec<usize>> = BTreeMap::new();
         for (number, incident) in link_incidents.iter().enumerate() {
             let routes: Vec<Route> = match incident.to {
-                Party::Discovery => {
+                Endpoint::Discovery => {
                     from[number].iter().map(|dispatcher| Route::Discovery(*dispatcher)).collect()
                 }
-                Party::Dispatchers(_) | Party::Dispatcher(_) => {
+                Endpoint::Dispatchers(_) | Endpoint::Dispatcher(_) => {
                     to[number].iter().map(|dispatcher| Route::Clients(*dispatcher)).collect()
                 }
-                Party::Workers(_) | Party::Worker(_) => (0..signatures.len())
+                Endpoint::Workers(_) | Endpoint::Worker(_) => (0..signatures.len())
                     .filter(|group| signatures[*group].contains(&number))
                     .flat_map(|group| to[number].iter().map(move |worker| Route::Worker(group, *worker)))
                     .collect(),
                 // Nothing connects to clients, and the script reader rejects such an incident.
-                Party::Clients => Vec::new(),
+                Endpoint::Clients => Vec::new(),
             };
             routes.into_iter().for_each(|route| incidents_by_route.entry(route).or_default().push(number));
         }
@@ -122,7 +122,7 @@
             .filter(|number| active.contains(number))
             .map(|number| &self.link_incidents[*number]);
         in_effect.fold((Faults::default(), Faults::default()), |(forward, backward), incident| {
-            (combine(forward, incident.there), combine(backward, incident.back))
+            (combine(forward, incident.forward), combine(backward, incident.backward))
         })
     }
 
@@ -133,16 +133,16 @@
         let to_workers = self
             .link_incidents
             .iter()
-            .filter(|incident| matches!(incident.to, Party::Workers(_) | Party::Worker(_)));
+            .filter(|incident| matches!(incident.to, Endpoint::Workers(_) | Endpoint::Worker(_)));
         let request_delay =
-            to_workers.fold(Span(0), |sum, incident| sum + incident.there.delay + incident.there.jitter);
+            to_workers.fold(Span(0), |sum, incident| sum + incident.forward.delay + incident.forward.jitter);
         let notice_delay = self
             .link_incidents
             .iter()
-            .filter(|incident| incident.to == Party::Discovery)
+            .filter(|incident| incident.to == Endpoint::Discovery)
             .fold(Span(0), |sum, incident| {
-                let Faults { delay, jitter, cut, refuse, .. } = incident.back;
-                let lost = cut || refuse || incident.there.cut || incident.there.refuse;
+                let Faults { delay, jitter, cut, refuse, .. } = incident.backward;
+                let lost = cut || refuse || incident.forward.cut || incident.forward.refuse;
                 sum + if lost { NOTIFICATION_LIMIT } else { delay + jitter }
             });
         request_delay + notice_delay.min(NOTIFICATION_LIMIT)
@@ -151,9 +151,9 @@
     /// The longest delay that links add to a request, or to the end of its connection, between a client and a log worker.
     /// Data on a link that is cut or has a limited rate arrives when the incident ends, at the latest.
     pub fn max_transit(&self) -> Span {
-        let carries_requests = |incident: &&Disturbance| incident.to != Party::Discovery;
+        let carries_requests = |incident: &&LinkIncident| incident.to != Endpoint::Discovery;
         self.link_incidents.iter().filter(carries_requests).fold(Span(0), |sum, incident| {
-            let Faults { delay, jitter, cut, rate, .. } = incident.there;
+            let Faults { delay, jitter, cut, rate, .. } = incident.forward;
             let hold = if cut || rate > 0.0 { incident.length } else { Span(0) };
             sum + delay + jitter + hold
         })
@@ -179,26 +179,26 @@
 }
 
 /// The members of a party by number, of `count` dispatchers or log workers. These are assigned to zones in turn.
-fn members(party: Party, count: usize, zones: usize) -> Vec<usize> {
+fn members(party: Endpoint, count: usize, zones: usize) -> Vec<usize> {
     match party {
-        Party::Clients | Party::Discovery => Vec::new(),
-        Party::Dispatchers(None) | Party::Workers(None) => (0..count).collect(),
-        Party::Dispatchers(Some(zone)) | Party::Workers(Some(zone)) => {
+        Endpoint::Clients | Endpoint::Discovery => Vec::new(),
+        Endpoint::Dispatchers(None) | Endpoint::Workers(None) => (0..count).collect(),
+        Endpoint::Dispatchers(Some(zone)) | Endpoint::Workers(Some(zone)) => {
             (0..count).filter(|number| number % zones == zone).collect()
         }
-        Party::Dispatcher(number) | Party::Worker(number) => vec![number],
+        Endpoint::Dispatcher(number) | Endpoint::Worker(number) => vec![number],
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use rookspoke_emulator::scenario::Stage;
+    use rookspoke_emulator::scenario::Environment;
     use rookspoke_emulator::script::read_text;
 
     fn routes(text: &str) -> Routes {
         let scenario =
-            read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
+            read_text("t.lab", text, Environment::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
         Routes::new(&scenario, 1)
     }
 
@@ -236,7 +236,7 @@
     fn the_affected_part_is_drawn_from_the_seed() {
         let text = "workers 40\nincident link at 1s for 2s from dispatchers to workers part 0.25 cut";
         let scenario =
-            read_text("t.lab", text, Stage::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
+            read_text("t.lab", text, Environment::Processes).unwrap_or_else(|p| panic!("{}", p.render()));
         let drawn = |seed| Routes::new(&scenario, seed).incidents_by_route.into_keys().collect::<Vec<_>>();
         assert_eq!((drawn(1).len(), drawn(1) == drawn(1), drawn(1) == drawn(2)), (10, true, false));
     }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -11,9 +11,9 @@
 use rookspoke_decisions::Span;
 use rookspoke_emulator::check::RULES;
 use rookspoke_emulator::model::{draw_affected, draw_arrivals, is_costly, Arrival};
-use rookspoke_emulator::report::{spread, ClassReport, Report, Score};
+use rookspoke_emulator::report::{coefficient_of_variation, ClassReport, Report, Score};
 use rookspoke_emulator::rng::{stream, Stream};
-use rookspoke_emulator::scenario::{Incident, Scenario, Trouble};
+use rookspoke_emulator::scenario::{Incident, IncidentKind, Scenario};
 use serde::Serialize;
 use thiserror::Error;
 use tokio::net::TcpListener;
@@ -377,7 +377,7 @@
     pub fn arrivals(&self) -> Vec<Arrival> {
         let (scenario, seed) = (&self.scenario, self.options.seed);
         let mut all = draw_arrivals(scenario, seed, &mut stream(seed, Stream::Clients, 0));
-        for incident in scenario.incidents.iter().filter(|incident| incident.trouble == Trouble::Costly) {
+        for incident in scenario.incidents.iter().filter(|incident| incident.kind == IncidentKind::Costly) {
             for (number, arrival) in all.iter_mut().enumerate() {
                 if is_costly(seed, number, arrival.intended_at, incident) {
                     arrival.work *= incident.size;
@@ -425,21 +425,23 @@
         number: usize,
         incident: &Incident,
     ) -> Result<(), StartError> {
-        let Incident { trouble, size, length, part, .. } = *incident;
-        let affects_dispatchers =
-            matches!(trouble, Trouble::HostPause | Trouble::Slowed | Trouble::Kill | Trouble::Restart);
+        let Incident { kind, size, length, part, .. } = *incident;
+        let affects_dispatchers = matches!(
+            kind,
+            IncidentKind::HostPause | IncidentKind::Slowed | IncidentKind::Kill | IncidentKind::Restart
+        );
         let party_count =
             if affects_dispatchers { self.dispatchers.len() } else { self.scenario.count("workers") };
         let affected = draw_affected(self.options.seed, number, part, party_count);
-        self.record_script(format!("incident {number} ({trouble:?}) begins"));
+        self.record_script(format!("incident {number} ({kind:?}) begins"));
         let until_end = sleep_for(length);
-        match trouble {
-            Trouble::Crash | Trouble::Silent => {
-                self.worker_pool.crash(&affected, trouble == Trouble::Silent);
+        match kind {
+            IncidentKind::Crash | IncidentKind::Silent => {
+                self.worker_pool.crash(&affected, kind == IncidentKind::Silent);
                 until_end.await;
                 self.worker_pool.restart(&affected);
             }
-            Trouble::Rolling => {
+            IncidentKind::Rolling => {
                 let interval = Span(length.0 / affected.len().max(1) as i64);
                 let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
@@ -457,12 +459,12 @@
                 }
                 while turns.join_next().await.is_some() {}
             }
-            Trouble::Slow => {
+            IncidentKind::Slow => {
                 self.worker_pool.update_workers(&affected, |worker| worker.slowdown *= size.max(1e-3));
                 until_end.await;
                 self.worker_pool.update_workers(&affected, |worker| worker.slowdown /= size.max(1e-3));
             }
-            Trouble::Neighbour => {
+            IncidentKind::Neighbour => {
                 let end = self.event_log.clock().now() + length;
                 let mut taken = size.clamp(0.0, 0.99);
                 while self.event_log.clock().now() < end {
@@ -472,18 +474,18 @@
                 }
                 self.worker_pool.update_workers(&affected, |worker| worker.cpu_steal = 0.0);
             }
-            Trouble::Pause => {
+            IncidentKind::Pause => {
                 self.worker_pool.update_workers(&affected, |worker| worker.paused = true);
                 until_end.await;
                 self.worker_pool.update_workers(&affected, |worker| worker.paused = false);
             }
-            Trouble::ReportsLate => {
+            IncidentKind::ReportsLate => {
                 let added_delay = Span::from_ms(size * 1000.0);
                 self.worker_pool.delay_reports(added_delay);
                 until_end.await;
                 self.worker_pool.delay_reports(Span(-added_delay.0));
             }
-            Trouble::Resets => {
+            IncidentKind::Resets => {
                 let mut rng = stream(self.options.seed, Stream::Network, number as u64);
                 let end = self.event_log.clock().now() + length;
                 while self.event_log.clock().now() < end {
@@ -492,17 +494,17 @@
                 }
             }
             // The jobs of a `costly` incident were drawn before the start; a `zone-cut` is a set of link incidents.
-            Trouble::Costly | Trouble::ZoneCut => until_end.await,
-            Trouble::DiscoveryGone | Trouble::DiscoverySilent | Trouble::DiscoveryOld => {
-                self.discovery_server.set_mode(match trouble {
-                    Trouble::DiscoverySilent => DiscoveryMode::Silent,
-                    Trouble::DiscoveryOld => DiscoveryMode::Stale,
+            IncidentKind::Costly | IncidentKind::ZoneCut => until_end.await,
+            IncidentKind::DiscoveryGone | IncidentKind::DiscoverySilent | IncidentKind::DiscoveryOld => {
+                self.discovery_server.set_mode(match kind {
+                    IncidentKind::DiscoverySilent => DiscoveryMode::Silent,
+                    IncidentKind::DiscoveryOld => DiscoveryMode::Stale,
                     _ => DiscoveryMode::Refusing,
                 });
                 until_end.await;
                 self.discovery_server.set_mode(DiscoveryMode::Normal);
             }
-            Trouble::HostPause => {
+            IncidentKind::HostPause => {
                 for number in &affected {
                     self.dispatchers[*number].suspend().await;
                 }
@@ -511,7 +513,7 @@
                     self.dispatchers[*number].resume().await;
                 }
             }
-            Trouble::Slowed => {
+            IncidentKind::Slowed => {
                 let length = duration(length);
                 let mut throttled = JoinSet::new();
                 for number in affected {
@@ -520,14 +522,14 @@
                 }
                 while throttled.join_next().await.is_some() {}
             }
-            Trouble::Kill => {
+            IncidentKind::Kill => {
                 for number in &affected {
                     self.kill_dispatcher(*number).await;
                 }
                 until_end.await;
                 self.restart_dispatchers(affected).await?;
             }
-            Trouble::Restart => {
+            IncidentKind::Restart => {
                 let interval = Span(length.0 / affected.len().max(1) as i64);
                 let begin = self.event_log.clock().now();
                 let mut turns = JoinSet::new();
@@ -542,7 +544,7 @@
                 join_all(turns).await?;
             }
         }
-        self.record_script(format!("incident {number} ({trouble:?}) ends"));
+        self.record_script(format!("incident {number} ({kind:?}) ends"));
         Ok(())
     }
 
@@ -612,7 +614,7 @@
     /// Computes the emulator's report from the measurements of this run.
     fn report(&self, violations: &[Violation]) -> Report {
         let counted = self.load_generator.counts();
-        let score = Score::of(&self.scenario, &counted.jobs);
+        let score = Score::from_jobs(&self.scenario, &counted.jobs);
         let classes = self.scenario.classes.iter().enumerate().map(|(class, settings)| ClassReport {
             name: settings.name.clone(),
             jobs: counted.jobs.iter().filter(|job| job.class == class).count(),
@@ -654,7 +656,7 @@
             mean_ms: counted.latency.mean() / 1000.0,
             p50_ms: quantile_ms(0.5),
             p99_ms: quantile_ms(0.99),
-            spread: spread(&self.worker_pool.busy_seconds()),
+            spread: coefficient_of_variation(&self.worker_pool.busy_seconds()),
             rules,
             first_broken: violations.iter().take(MAX_DESCRIBED_VIOLATIONS).map(describe).collect(),
         }
