--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -15,7 +15,7 @@
 use rookspoke_emulator::report::Score;
 use rookspoke_emulator::scenario::{Environment, Incident, IncidentKind};
 use rookspoke_emulator::script;
-use rookspoke_rig::play::{Options, Rig};
+use rookspoke_rig::run::{Options, Rig};
 
 use crate::processes::{exit_status, outcome_text, program, runtime};
 
@@ -71,14 +71,14 @@
     let options = Options {
         program: program(args.program.as_deref())?,
         seed: args.seed,
-        patience: Duration::from_secs(15),
+        start_timeout: Duration::from_secs(15),
         faults: None,
     };
     runtime()?.block_on(async {
         let rig = Rig::start(scenario, options).await.map_err(|error| error.to_string())?;
         let run = {
             let rig = rig.clone();
-            tokio::spawn(async move { rig.play().await })
+            tokio::spawn(async move { rig.run().await })
         };
         let finished = show_figures(&rig, run).await?;
         if !finished {
@@ -160,16 +160,16 @@
         };
         let (rig, number) = (rig.clone(), *next_incident);
         *next_incident += 1;
-        tokio::spawn(async move { rig.incident(number, &incident).await });
+        tokio::spawn(async move { rig.run_incident(number, &incident).await });
     }
     true
 }
 
 fn figures(rig: &Rig) -> [(&'static str, String); 7] {
-    let counts = rig.load.counts();
+    let counts = rig.load_generator.counts();
     let score = Score::from_jobs(&rig.scenario, &counts.jobs);
     [
-        ("dispatchers", rig.in_front().to_string()),
+        ("dispatchers", rig.dispatchers_in_rotation().to_string()),
         ("log workers", rig.worker_pool.available_workers().to_string()),
         ("jobs", counts.jobs.len().to_string()),
         ("served", counts.served.to_string()),
