--- a/crates/rookspoke/tests/leaving.rs
+++ b/crates/rookspoke/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! A client that has closed its connection has gone: no call attempt for it begins over 0.1 s later, whatever its job was
-//! waiting for. Attempts are counted in the log workers' own books.
+//! Once a client has closed its connection, no call attempt for it begins more than 0.1 s later, whatever its job was waiting
+//! for. Attempts are counted by the stand-in log workers.
 
 mod common;
 
@@ -12,146 +12,154 @@
 use common::world::*;
 use serde_json::json;
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    /// It closes.
+enum Disconnect {
+    /// Closes the connection.
     Fin,
-    /// It resets the connection.
+    /// Resets the connection.
     Rst,
-    /// It closes after bytes that nobody has read yet: a whole further request.
+    /// Closes after a complete further request that has not been read yet.
     Pipelined,
-    /// The same with half of one.
-    CutShort,
-    /// It sends all that it can, and closes.
+    /// Closes after a further request whose last two bytes are missing.
+    Truncated,
+    /// Sends 300 further requests and closes.
     Flood,
 }
 
-const ALL: [Leaves; 5] = [Leaves::Fin, Leaves::Rst, Leaves::Pipelined, Leaves::CutShort, Leaves::Flood];
-/// From then on nothing may begin.
-const GONE: Duration = Duration::from_millis(100);
+const ALL_DISCONNECTS: [Disconnect; 5] =
+    [Disconnect::Fin, Disconnect::Rst, Disconnect::Pipelined, Disconnect::Truncated, Disconnect::Flood];
+/// No attempt may begin later than this after a client has disconnected.
+const NOTICE_TIME: Duration = Duration::from_millis(100);
 
-impl Leaves {
-    /// The further bytes come well before the end: what has read them stands there when that comes.
-    fn sends(self, client: &mut TcpStream, id: &str) {
+impl Disconnect {
+    /// Sends the further bytes well before the client disconnects, so that the daemon has read them by then.
+    fn send_further(self, client: &mut TcpStream, id: &str) {
         let further = post("log-lookup", &format!("f{}", &id[1..]), 9_000, "four");
         let bytes = match self {
-            Leaves::Fin | Leaves::Rst => Vec::new(),
-            Leaves::Pipelined => further,
-            Leaves::CutShort => further[..further.len() - 2].to_vec(),
-            Leaves::Flood => further.repeat(300),
+            Disconnect::Fin | Disconnect::Rst => Vec::new(),
+            Disconnect::Pipelined => further,
+            Disconnect::Truncated => further[..further.len() - 2].to_vec(),
+            Disconnect::Flood => further.repeat(300),
         };
         client.write_all(&bytes).expect("sent");
     }
 
-    fn goes(self, client: TcpStream) {
-        if let Leaves::Rst = self {
+    fn disconnect(self, client: TcpStream) {
+        if let Disconnect::Rst = self {
             socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("a linger");
         }
         drop(client);
     }
 }
 
-/// Clients of a class, one of each kind in turn.
-fn clients(daemon: &Daemon, class: &str, count: usize) -> Vec<(Leaves, TcpStream)> {
-    let one = |number: usize| {
-        let (how, id) = (ALL[number % ALL.len()], format!("{:016x}", 0xa000 + number));
+/// Connects clients of a class that disconnect in each of the ways in turn.
+fn connect_clients(daemon: &Daemon, class: &str, count: usize) -> Vec<(Disconnect, TcpStream)> {
+    let connect = |number: usize| {
+        let (how, id) =
+            (ALL_DISCONNECTS[number % ALL_DISCONNECTS.len()], format!("{:016x}", 0xa000 + number));
         let mut client = send(daemon.address("http"), &post(class, &id, 20_000, ""));
-        how.sends(&mut client, &id);
+        how.send_further(&mut client, &id);
         (how, client)
     };
-    (0..count).map(one).collect()
+    (0..count).map(connect).collect()
 }
 
-/// Three hundred wait for a list, and all leave in one burst.
+/// Three hundred jobs wait for a list, and their clients disconnect at once. A list that arrives 0.1 s later must send none.
 #[test]
-fn nobody_of_a_crowd_that_left_while_it_waited_is_sent() {
+fn no_job_is_sent_whose_client_disconnected_while_it_waited_for_a_list() {
     let worker = Worker::serving("w-1");
     let discovery = Discovery::start(Vec::new());
     let daemon = Daemon::over(&discovery);
-    let crowd = clients(&daemon, "log-lookup", 300);
-    let stays = send(daemon.address("http"), &post("log-lookup", "0000000000000001", 9_000, ""));
-    wait_for("all of them", || daemon.counters("http").contains(" taken=301 ").then_some(()));
-    crowd.into_iter().for_each(|(how, client)| how.goes(client));
-    std::thread::sleep(GONE);
+    let clients = connect_clients(&daemon, "log-lookup", 300);
+    let connected = send(daemon.address("http"), &post("log-lookup", "0000000000000001", 9_000, ""));
+    wait_for("all jobs to be taken", || daemon.counters("http").contains(" taken=301 ").then_some(()));
+    clients.into_iter().for_each(|(how, client)| how.disconnect(client));
+    std::thread::sleep(NOTICE_TIME);
     discovery.change(worker.entry("active"));
-    let answer = read_message(&mut std::io::BufReader::new(stays)).expect("an answer");
+    let answer = read_message(&mut std::io::BufReader::new(connected)).expect("an answer");
     assert_eq!(answer.status, 200);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(worker.count(), 1, "sent for somebody who had left");
+    assert_eq!(worker.count(), 1, "a job was sent for a disconnected client");
     daemon.wait_counters("http", &["taken=301", "client_gone=300", "sent=1"]);
 }
 
-/// The first log worker hands its jobs back once their clients have left, and the second one stands idle.
+/// The first log worker returns its jobs once their clients have disconnected. The second one is idle, and must get none of
+/// them.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_during_the_first() {
-    let (left, holds) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
-    let away = left.clone();
+fn no_further_attempt_begins_for_a_client_that_disconnected_during_the_first() {
+    let (disconnected, poll_interval) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
+    let clients_gone = disconnected.clone();
     let first = Worker::start("w-1", move |request, to| {
-        // A job that is called off hears nothing any more.
-        while !away.load(Ordering::SeqCst) {
-            std::thread::sleep(holds);
+        // A cancelled job would not be answered any more.
+        while !clients_gone.load(Ordering::SeqCst) {
+            std::thread::sleep(poll_interval);
         }
         objects(to, &[state(request, "returned")], true);
         false
     });
     let second = Worker::serving("w-2");
     let discovery = Discovery::start(vec![first.entry("active")]);
-    // Calling off is not allowed: the attempt goes on to its end.
+    // Cancelling is not allowed, so the attempt goes on to its end.
     let mut config = config(discovery.address);
     config["settings"]["limits"]["cancel"] = false.into();
     config["settings"]["specifics"]["report_x0"] = json!("free_slots");
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
-    let crowd = clients(&daemon, "log-lookup", 5);
+    let clients = connect_clients(&daemon, "log-lookup", 5);
     wait_for("the attempts", || (first.count() == 5).then_some(()));
     discovery.change(second.entry("active"));
     daemon.wait_counters("http", &["lists=2"]);
-    crowd.into_iter().for_each(|(how, client)| how.goes(client));
-    std::thread::sleep(GONE);
-    left.store(true, Ordering::SeqCst);
+    clients.into_iter().for_each(|(how, client)| how.disconnect(client));
+    std::thread::sleep(NOTICE_TIME);
+    disconnected.store(true, Ordering::SeqCst);
     daemon.wait_counters("http", &["taken=5", "client_gone=5", "attempts_failed=5", "sent=5"]);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!((first.count(), second.count()), (5, 0), "sent again for somebody who had left");
+    assert_eq!((first.count(), second.count()), (5, 0), "a job was sent again for a disconnected client");
 }
 
-/// The connection to the log worker comes up after its client has left: the decision to send was made long before.
+/// The decision to send is made while the client is connected, but the connection to the log worker is established only
+/// after the client has disconnected.
 #[test]
-fn nothing_is_written_to_a_connection_that_comes_up_after_the_client_left() {
+fn nothing_is_written_to_a_connection_established_after_the_client_disconnected() {
     for cancel in [true, false] {
         let worker = Late::start("w-1");
         let daemon = Daemon::start(&worker.config(cancel), None);
         daemon.wait_ready();
         for class in ["log-lookup", "qso-confirm"] {
-            clients(&daemon, class, 5).into_iter().for_each(|(how, client)| {
+            connect_clients(&daemon, class, 5).into_iter().for_each(|(how, client)| {
                 std::thread::sleep(Duration::from_millis(20));
-                how.goes(client);
+                how.disconnect(client);
             });
         }
         daemon.wait_counters("http", &["taken=10", "client_gone=10", "sent=10"]);
-        std::thread::sleep(GONE);
+        std::thread::sleep(NOTICE_TIME);
         worker.opens();
-        // Nothing that may have run is forgotten: each attempt ends, as called off or as never sent.
-        let ends = if cancel { ["cancelled=10", "written=0"] } else { ["not_sent=10", "written=0"] };
-        daemon.wait_counters("http", &ends);
-        assert_eq!(worker.count(), 0, "written for somebody who had left; calling off allowed: {cancel}");
+        // Every attempt is accounted for, as cancelled or as never sent.
+        let expected = if cancel { ["cancelled=10", "written=0"] } else { ["not_sent=10", "written=0"] };
+        daemon.wait_counters("http", &expected);
+        assert_eq!(
+            worker.count(),
+            0,
+            "a request was written for a disconnected client; cancelling allowed: {cancel}"
+        );
     }
 }
 
-/// A confirmation whose client leaves is called off and accounted for; what it held of the log worker is free again.
+/// A confirmation whose client disconnects is cancelled and counted, and its capacity at the log worker is released.
 #[test]
-fn a_confirmation_stays_accounted_for_when_its_client_leaves() {
+fn confirmation_is_cancelled_and_counted_when_its_client_disconnects() {
     let worker = Worker::start("w-1", |request, to| {
-        let waits = request.first.contains("qso-confirm");
-        objects(to, &[state(request, if waits { "started" } else { "done" })], !waits);
-        !waits || !is_closed(to)
+        let stays_open = request.first.contains("qso-confirm");
+        objects(to, &[state(request, if stays_open { "started" } else { "done" })], !stays_open);
+        !stays_open || !is_closed(to)
     });
     let daemon = Daemon::over(&Discovery::of(&[&worker]));
-    let crowd = clients(&daemon, "qso-confirm", 5);
+    let clients = connect_clients(&daemon, "qso-confirm", 5);
     wait_for("the attempts", || (worker.count() == 5).then_some(()));
-    crowd.into_iter().for_each(|(how, client)| how.goes(client));
-    let ends = ["taken=5", "client_gone=5", "cancelled=5", "written=5", "sent=5", "served=0", "failed=0"];
-    daemon.wait_counters("http", &ends);
+    clients.into_iter().for_each(|(how, client)| how.disconnect(client));
+    let expected = ["taken=5", "client_gone=5", "cancelled=5", "written=5", "sent=5", "served=0", "failed=0"];
+    daemon.wait_counters("http", &expected);
     let next = ask(daemon.address("http"), &post("log-lookup", "0000000000000001", 5_000, ""));
     assert_eq!((next.status, worker.count()), (200, 6));
 }
