--- a/crates/rookspoke/tests/faults.rs
+++ b/crates/rookspoke/tests/faults.rs
@@ -1,4 +1,4 @@
-//! System calls that fail as Linux documents: every request has its answer all the same.
+//! Every request is answered although system calls fail in the ways that Linux documents.
 
 mod common;
 
@@ -9,15 +9,15 @@
 
 use common::world::*;
 
-/// A faulty daemon in front of these log workers, once it is ready.
-fn over(workers: &[&Worker], schedule: &str) -> Daemon {
+/// Starts a daemon with injected faults in front of these log workers and waits until it is ready.
+fn start_with_faults(workers: &[&Worker], schedule: &str) -> Daemon {
     let daemon = Daemon::start_with_faults(&config(Discovery::of(workers).address), schedule);
     daemon.wait_ready();
     daemon
 }
 
-/// How many of a client's requests, on connections that it keeps, had an answer; each has to.
-fn ask_in_turn(http: SocketAddr, first_id: u64, requests: u64) -> Vec<u16> {
+/// Sends requests one after the other on one connection, requires an answer to each, and returns the statuses.
+fn send_in_sequence(http: SocketAddr, first_id: u64, requests: u64) -> Vec<u16> {
     let mut connection = BufReader::new(send(http, b""));
     let statuses = (first_id..first_id + requests).map(|id| {
         let class = if id % 3 == 0 { "qso-confirm" } else { "log-lookup" };
@@ -28,14 +28,14 @@
     statuses.collect()
 }
 
-/// Clients side by side; gives the statuses of all their answers.
-fn ask_side_by_side(http: SocketAddr) -> Vec<u16> {
-    let clients = (1..=8).map(|client| thread::spawn(move || ask_in_turn(http, client * 0x100, 30)));
+/// Runs eight clients in parallel and returns the statuses of all their answers.
+fn send_in_parallel(http: SocketAddr) -> Vec<u16> {
+    let clients = (1..=8).map(|client| thread::spawn(move || send_in_sequence(http, client * 0x100, 30)));
     let clients: Vec<_> = clients.collect();
     clients.into_iter().flat_map(|client| client.join().expect("every request has an answer")).collect()
 }
 
-fn served(statuses: &[u16]) -> usize {
+fn served_count(statuses: &[u16]) -> usize {
     statuses.iter().filter(|status| **status == 200).count()
 }
 
@@ -44,65 +44,65 @@
     let worker = Worker::serving("w-1");
     let schedule =
         "11 receive=EINTR:10 receive=SHORT:10 peek=EINTR:20 send=EINTR:10 send=SHORT:5 wait=EINTR:20";
-    let daemon = over(&[&worker], schedule);
-    let statuses = ask_side_by_side(daemon.address("http"));
+    let daemon = start_with_faults(&[&worker], schedule);
+    let statuses = send_in_parallel(daemon.address("http"));
     for fault in ["receive EINTR", "receive SHORT", "peek EINTR", "send EINTR", "send SHORT", "wait EINTR"] {
-        assert!(daemon.faults(fault) > 0, "void: no {fault} was met");
+        assert!(daemon.faults(fault) > 0, "void: no {fault} was injected");
     }
-    // Nothing of this is a sign against a log worker: what is sent is served.
-    assert_eq!(served(&statuses), statuses.len(), "{statuses:?}");
+    // None of these faults counts as a failure of the log worker, so every request is served.
+    assert_eq!(served_count(&statuses), statuses.len(), "{statuses:?}");
 }
 
 #[test]
-fn a_system_short_of_memory_for_a_moment_loses_no_request() {
+fn transient_memory_shortage_loses_no_request() {
     let workers: Vec<Worker> = (1..=4).map(|n| Worker::serving(&format!("w-{n}"))).collect();
     let schedule = "12 receive=ENOMEM:5 peek=ENOMEM:30 peek=ENOBUFS:20 send=ENOBUFS:5";
-    let daemon = over(&workers.iter().collect::<Vec<_>>(), schedule);
-    let statuses = ask_side_by_side(daemon.address("http"));
+    let daemon = start_with_faults(&workers.iter().collect::<Vec<_>>(), schedule);
+    let statuses = send_in_parallel(daemon.address("http"));
     for fault in ["receive ENOMEM", "peek ENOMEM", "peek ENOBUFS", "send ENOBUFS"] {
-        assert!(daemon.faults(fault) > 0, "void: no {fault} was met");
+        assert!(daemon.faults(fault) > 0, "void: no {fault} was injected");
     }
-    assert!(served(&statuses) * 2 > statuses.len(), "{statuses:?}");
+    assert!(served_count(&statuses) * 2 > statuses.len(), "{statuses:?}");
 }
 
-/// Among the socket calls are those that the listener and the connections to log workers need.
+/// Both the listener and the connections to log workers meet these faults.
 #[test]
-fn sockets_and_connections_that_fail_for_a_moment_lose_no_request() {
+fn transient_socket_and_connection_errors_lose_no_request() {
     let workers: Vec<Worker> = (1..=4).map(|n| Worker::serving(&format!("w-{n}"))).collect();
     let schedule = "13 socket=ENFILE:20 socket=ENOBUFS:20 connect=EADDRNOTAVAIL:10 connect=ENETUNREACH:10 \
                     connect=ETIMEDOUT:5 accept=ECONNABORTED:20 accept=EMFILE:20 accept=EPROTO:10";
-    let daemon = over(&workers.iter().collect::<Vec<_>>(), schedule);
-    let statuses = ask_side_by_side(daemon.address("http"));
+    let daemon = start_with_faults(&workers.iter().collect::<Vec<_>>(), schedule);
+    let statuses = send_in_parallel(daemon.address("http"));
     for fault in ["socket ENFILE", "socket ENOBUFS", "accept ECONNABORTED", "accept EMFILE"] {
-        assert!(daemon.faults(fault) > 0, "void: no {fault} was met");
+        assert!(daemon.faults(fault) > 0, "void: no {fault} was injected");
     }
-    assert!(served(&statuses) > 0, "{statuses:?}");
+    assert!(served_count(&statuses) > 0, "{statuses:?}");
 }
 
-/// Connections wait in the backlog, each with a request, when the listener closes; accepting them fails at first.
+/// Connections with requests wait in the backlog when the shutdown closes the listener, and accepting them fails at first.
 #[test]
-fn a_shutdown_accepts_what_waits_though_accepting_fails_for_a_moment() {
+fn shutdown_accepts_the_backlog_although_accept_fails_at_first() {
     let worker = Worker::serving("w-1");
-    let daemon = over(&[&worker], "14 accept=ECONNABORTED:40 accept=ENFILE:10");
+    let daemon = start_with_faults(&[&worker], "14 accept=ECONNABORTED:40 accept=ENFILE:10");
     let http = daemon.address("http");
     daemon.signal("TERM");
     daemon.wait_log("shutdown: SIGTERM received");
     daemon.signal("STOP");
-    let waiting: Vec<TcpStream> =
+    let backlog: Vec<TcpStream> =
         (1..=20).map(|id| send(http, &post("log-lookup", &format!("{id:016x}"), 2_000, ""))).collect();
-    // Longer than new connections are accepted: the listener closes as soon as the process goes on.
+    // Longer than the time in which new connections are accepted, so the listener closes as soon as the process resumes.
     thread::sleep(Duration::from_millis(700));
     let before = daemon.faults("accept ECONNABORTED") + daemon.faults("accept ENFILE");
     daemon.signal("CONT");
-    let answers = waiting.into_iter().map(|client| read_message(&mut BufReader::new(client)));
+    let answers = backlog.into_iter().map(|client| read_message(&mut BufReader::new(client)));
     let answers: Vec<Option<u16>> = answers.map(|answer| answer.map(|answer| answer.status)).collect();
     assert!(daemon.faults("accept ECONNABORTED") + daemon.faults("accept ENFILE") > before, "void");
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
 }
 
-/// What an operator heard a yes to outlives a kill, though the folder fails half of the time.
+/// A ban that was confirmed to an operator must survive SIGKILL although about half of the writes to the state folder fail.
 #[test]
-fn a_ban_that_was_confirmed_outlives_a_kill_while_the_folder_fails() {
+fn confirmed_ban_survives_sigkill_while_writes_to_the_state_folder_fail() {
     let (banned, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let mut config = config(Discovery::of(&[&banned, &other]).address);
     let folder = Folder::new();
@@ -126,10 +126,10 @@
     assert_eq!((banned.count(), other.count()), (0, 10));
 }
 
-/// The wall clock goes an hour forward and back ten times a second: requests last as long as they should.
+/// Deadlines must not follow the wall clock, which here jumps by an hour and back ten times a second.
 #[test]
-fn a_wall_clock_that_is_stepped_changes_no_deadline() {
-    let (quick, mute) = (
+fn stepped_wall_clock_changes_no_deadline() {
+    let (quick, hanging) = (
         Worker::serving("w-1"),
         Worker::start("w-1", |_, _| {
             thread::sleep(PATIENCE);
@@ -137,21 +137,21 @@
         }),
     );
     for schedule in ["21 clock=3600:50", "22 clock=-3600:50", "23 clock=7:130"] {
-        let daemon = over(&[&quick], schedule);
-        let statuses = ask_in_turn(daemon.address("http"), 1, 30);
-        assert_eq!(served(&statuses), 30, "{schedule}: {statuses:?}");
-        let daemon = over(&[&mute], schedule);
-        let asked = Instant::now();
+        let daemon = start_with_faults(&[&quick], schedule);
+        let statuses = send_in_sequence(daemon.address("http"), 1, 30);
+        assert_eq!(served_count(&statuses), 30, "{schedule}: {statuses:?}");
+        let daemon = start_with_faults(&[&hanging], schedule);
+        let sent = Instant::now();
         let answer = ask(daemon.address("http"), &post("log-lookup", "0000000000000001", 600, ""));
         assert!(answer.status >= 500, "{schedule}: {answer:?}");
-        assert!(asked.elapsed() >= Duration::from_millis(500), "{schedule}: {:?}", asked.elapsed());
+        assert!(sent.elapsed() >= Duration::from_millis(500), "{schedule}: {:?}", sent.elapsed());
     }
 }
 
-/// The wall clock was set back by an hour before the process started. A log worker that restarts is warm again after its
-/// ramp, and not an hour later.
+/// With the daemon's wall clock an hour behind, the start time of a restarted log worker lies in the future. Its slow start must
+/// still end after the ramp time, not an hour later.
 #[test]
-fn a_restarted_log_worker_is_used_again_though_the_wall_clock_is_an_hour_behind() {
+fn slow_start_ends_after_the_ramp_although_the_wall_clock_is_an_hour_behind() {
     let worker = Worker::serving("w-1");
     let discovery = Discovery::of(&[&worker]);
     let mut config = config(discovery.address);
@@ -164,12 +164,12 @@
     discovery.change(entry);
     daemon.wait_counters("http", &["lists=2"]);
     thread::sleep(Duration::from_millis(1_600));
-    let statuses = ask_in_turn(daemon.address("http"), 1, 20);
-    assert_eq!(served(&statuses), 20, "{statuses:?}");
+    let statuses = send_in_sequence(daemon.address("http"), 1, 20);
+    assert_eq!(served_count(&statuses), 20, "{statuses:?}");
 }
 
 #[test]
-fn a_schedule_that_makes_no_sense_is_named() {
+fn invalid_fault_schedule_is_reported() {
     for (schedule, found) in [
         ("x", "x"),
         ("1 receive=EWHAT:5", "receive=EWHAT:5"),
@@ -180,8 +180,11 @@
             Daemon::command(&config("127.0.0.1:9".parse().expect("an address")), None);
         command.env("LD_PRELOAD", faults_library()).env("ROOKSPOKE_FAULTS", schedule);
         let output = command.output().expect("it runs");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(3), "{said}");
-        assert!(said.contains(&format!("found {found:?}, expected `SEED CALL=ERROR:PERCENT ...`")), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(3), "{stderr}");
+        assert!(
+            stderr.contains(&format!("found {found:?}, expected `SEED CALL=ERROR:PERCENT ...`")),
+            "{stderr}"
+        );
     }
 }
