--- a/crates/rookspoke/tests/list.rs
+++ b/crates/rookspoke/tests/list.rs
@@ -1,5 +1,5 @@
-//! How old a list may be, with a real discovery that is up and whose calls fail: six seconds after the last word, and no
-//! longer, whatever else is said of calls that fail.
+//! How long a list stays in effect while discovery is up but its calls fail: six seconds after the last message of the watch,
+//! and no longer, in whatever way the calls fail.
 
 mod common;
 
@@ -10,50 +10,50 @@
 use common::world::*;
 use serde_json::json;
 
-/// How each call fails while discovery is up.
+/// How each call to discovery fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fails {
-    /// Nobody accepts.
+enum CallFailure {
+    /// Nothing listens at the address.
     Refused,
     Status503,
     Reset,
-    /// A head, and then nothing.
-    HeadAlone,
-    /// Half of an object, and the end.
-    CutObject,
-    /// No answer at all: given up by the dispatcher.
-    GivenUp,
+    /// A response head, and then nothing.
+    HeadOnly,
+    /// Part of an object, and then the end of the response.
+    TruncatedObject,
+    /// No response at all, so that the dispatcher times out.
+    NoResponse,
 }
 
-impl Fails {
-    /// What a call gets; what is given back stays open.
+impl CallFailure {
+    /// Answers a call, and returns the connection if it has to stay open.
     fn answer(self, mut stream: TcpStream) -> Option<TcpStream> {
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let _ = read_message(&mut BufReader::new(stream.try_clone().expect("a clone")));
         let _ = match self {
-            Fails::Status503 => {
+            CallFailure::Status503 => {
                 stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             }
-            Fails::Reset => {
+            CallFailure::Reset => {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 return None;
             }
-            Fails::HeadAlone => stream.write_all(head),
-            Fails::CutObject => {
+            CallFailure::HeadOnly => stream.write_all(head),
+            CallFailure::TruncatedObject => {
                 let _ = stream.write_all(head);
                 let _ = stream.write_all(b"13\r\n{\"rev\":2,\"all\":tru\r\n0\r\n\r\n");
                 return None;
             }
-            Fails::GivenUp | Fails::Refused => Ok(()),
+            CallFailure::NoResponse | CallFailure::Refused => Ok(()),
         };
         Some(stream)
     }
 }
 
-/// A discovery that fails every call in one way until it is told to answer.
-fn failing(listener: TcpListener, fails: Fails, until: Instant) -> TcpListener {
+/// Fails every call to discovery in one way until `until`, and returns the listener.
+fn fail_calls_until(listener: TcpListener, failure: CallFailure, until: Instant) -> TcpListener {
     let address = listener.local_addr().expect("an address");
-    if fails == Fails::Refused {
+    if failure == CallFailure::Refused {
         drop(listener);
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
         return wait_for("the port", || TcpListener::bind(address).ok());
@@ -64,7 +64,7 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).expect("a stream");
-                open.extend(fails.answer(stream));
+                open.extend(failure.answer(stream));
             }
             Err(_) => std::thread::sleep(Duration::from_millis(5)),
         }
@@ -73,10 +73,11 @@
     listener
 }
 
-fn tells(listener: &TcpListener, list: &serde_json::Value) -> TcpStream {
+/// Accepts calls until it can write `list` to one, and returns that watch.
+fn serve_list(listener: &TcpListener, list: &serde_json::Value) -> TcpStream {
     loop {
         let (mut stream, _) = listener.accept().expect("a call");
-        // One that was given up in the meantime is no caller.
+        // Skips calls that the dispatcher has given up in the meantime.
         if read_message(&mut BufReader::new(stream.try_clone().expect("a clone"))).is_none() {
             continue;
         }
@@ -88,124 +89,138 @@
     }
 }
 
-/// A log worker is told to leave to whoever hears, and nobody does: until 6 s after the watch it may be sent to, and is;
-/// from then on a job waits, and gets its answer in time from where the next list says.
-fn plays(fails: Fails, pushed: bool, ask_every_ms: f64) {
-    let case = format!("{fails:?}, {}, {ask_every_ms}", if pushed { "pushed" } else { "asked" });
-    let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
+/// The watch ends and every further call fails, so the dispatcher misses that its log worker drains. Until 6 s after the end
+/// of the watch it may send jobs by the old list, and does. After that a job waits for the next list and is served in time
+/// by the log worker named there.
+fn check_list_expiry(failure: CallFailure, pushed: bool, poll_interval_ms: f64) {
+    let case = format!("{failure:?}, {}, {poll_interval_ms}", if pushed { "pushed" } else { "polled" });
+    let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut config = config(listener.local_addr().expect("an address"));
-    config["settings"]["rules"]["ask_every_ms"] = ask_every_ms.into();
+    config["settings"]["rules"]["ask_every_ms"] = poll_interval_ms.into();
     config["settings"]["discovery"] = if pushed { "automatic" } else { "subscribe" }.into();
     let daemon = Daemon::start(&config, None);
-    let watch = tells(&listener, &json!({"rev": 1, "all": true, "targets": [one.entry("active")]}));
+    let watch = serve_list(&listener, &json!({"rev": 1, "all": true, "targets": [draining.entry("active")]}));
     daemon.wait_ready();
     let http = daemon.address("http");
-    let job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+    let send_job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
     let status = |client: TcpStream| read_message(&mut BufReader::new(client)).map(|answer| answer.status);
-    assert_eq!(status(job(1)), Some(200), "{case}");
+    assert_eq!(status(send_job(1)), Some(200), "{case}");
     drop(watch);
-    let ended = Instant::now();
-    let at = move |ms: u64| ended + Duration::from_millis(ms);
-    let fails_until = std::thread::spawn(move || failing(listener, fails, at(7_200)));
-    // As long as ask_every allows without a call that failed: not a moment of service is given away.
-    if ask_every_ms > 6_000.0 {
+    let watch_ended = Instant::now();
+    let at = move |ms: u64| watch_ended + Duration::from_millis(ms);
+    let failing = std::thread::spawn(move || fail_calls_until(listener, failure, at(7_200)));
+    // With a poll interval over 6 s the list stays in effect for the whole 6 s, so jobs are still served shortly before that.
+    if poll_interval_ms > 6_000.0 {
         std::thread::sleep(at(4_500).saturating_duration_since(Instant::now()));
-        assert_eq!((status(job(2)), one.count()), (Some(200), 2), "{case}: it stopped too early");
+        assert_eq!(
+            (status(send_job(2)), draining.count()),
+            (Some(200), 2),
+            "{case}: jobs were held back too early"
+        );
     }
     std::thread::sleep(at(6_050).saturating_duration_since(Instant::now()));
-    let (before, late) = (one.count(), job(3));
-    let listener = fails_until.join().expect("a listener");
-    assert_eq!(one.count(), before, "{case}: sent by a list that counts as replaced");
-    let list = json!({"rev": 2, "all": true, "targets": [one.entry("leaving"), two.entry("active")]});
-    let _watch = tells(&listener, &list);
-    assert_eq!((status(late), one.count() - before, two.count()), (Some(200), 0, 1), "{case}");
+    let (before, waiting) = (draining.count(), send_job(3));
+    let listener = failing.join().expect("a listener");
+    assert_eq!(draining.count(), before, "{case}: sent by an expired list");
+    let list = json!({"rev": 2, "all": true, "targets": [draining.entry("leaving"), other.entry("active")]});
+    let _watch = serve_list(&listener, &list);
+    assert_eq!((status(waiting), draining.count() - before, other.count()), (Some(200), 0, 1), "{case}");
 }
 
 #[test]
-fn no_list_is_gone_by_for_longer_than_six_seconds_whatever_calls_fail() {
-    use Fails::{CutObject, GivenUp, HeadAlone, Refused, Reset, Status503};
-    let all = [Refused, Status503, Reset, HeadAlone, CutObject, GivenUp];
-    let asked = all.into_iter().map(|fails| (fails, false, 200_000.0));
+fn no_list_stays_in_effect_for_over_six_seconds_however_calls_fail() {
+    use CallFailure::{HeadOnly, NoResponse, Refused, Reset, Status503, TruncatedObject};
+    let all = [Refused, Status503, Reset, HeadOnly, TruncatedObject, NoResponse];
+    let polled = all.into_iter().map(|failure| (failure, false, 200_000.0));
     let pushed = [(Status503, true, 1_000.0), (Reset, true, 1_000.0)];
-    // Far below six seconds, a call that failed allows four times as long, and no more than that.
-    let short = [(Status503, false, 400.0), (GivenUp, false, 400.0)];
-    let plays: Vec<_> = asked
+    // With a poll interval far below six seconds, a failed call extends the list's life to four intervals at most.
+    let short = [(Status503, false, 400.0), (NoResponse, false, 400.0)];
+    let runs: Vec<_> = polled
         .chain(pushed)
         .chain(short)
-        .map(|(fails, pushed, every)| std::thread::spawn(move || plays(fails, pushed, every)))
+        .map(|(failure, pushed, interval)| {
+            std::thread::spawn(move || check_list_expiry(failure, pushed, interval))
+        })
         .collect();
-    let failed: Vec<_> = plays.into_iter().filter_map(|play| play.join().err()).collect();
-    assert!(failed.is_empty(), "{} of the cases", failed.len());
+    let failed: Vec<_> = runs.into_iter().filter_map(|run| run.join().err()).collect();
+    assert!(failed.is_empty(), "{} cases failed", failed.len());
 }
 
-/// The process stands still with a watch open and its call attempt on the way to a connection; the watch says nothing
-/// meanwhile. When it wakes, the send comes before any timer that would tell that the list is too old.
+/// The process is suspended while its watch is silent and a call attempt waits for a connection. When it resumes, the
+/// connection is up and the send is due before the timer that expires the list has fired, so the send itself must check the
+/// list's age.
 #[test]
-fn a_send_that_wakes_after_a_long_stop_asks_how_old_the_list_is() {
-    let one = Late::start("w-1");
+fn send_after_a_long_suspension_checks_the_age_of_the_list() {
+    let worker = Late::start("w-1");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut config = config(listener.local_addr().expect("an address"));
     config["settings"]["limits"]["connect_timeout_ms"] = 20_000.0.into();
     let daemon = Daemon::start(&config, None);
-    let _silent = tells(&listener, &json!({"rev": 1, "all": true, "targets": [one.entry("active")]}));
-    let word = Instant::now();
+    let _silent = serve_list(&listener, &json!({"rev": 1, "all": true, "targets": [worker.entry("active")]}));
+    let last_message = Instant::now();
     daemon.wait_ready();
     let client = send(daemon.address("http"), &post("log-lookup", "0000000000000401", 20_000, ""));
     wait_for("the attempt", || daemon.counters("http").contains(" sent=1 ").then_some(()));
     daemon.signal("STOP");
-    one.opens();
-    std::thread::sleep(Duration::from_millis(7_500).saturating_sub(word.elapsed()));
+    worker.opens();
+    std::thread::sleep(Duration::from_millis(7_500).saturating_sub(last_message.elapsed()));
     daemon.signal("CONT");
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(one.count(), 0, "sent by a list of {:?}", word.elapsed());
+    assert_eq!(worker.count(), 0, "sent by a list {:?} old", last_message.elapsed());
     daemon.wait_counters("http", &["sent=1", "not_sent=1", "written=0"]);
     drop(client);
 }
 
-/// What another discovery has to tell counts 4 s after SIGHUP, though it fails every call; and where the old watch had
-/// ended before that, its six seconds go on.
+/// After SIGHUP names another discovery, the old list stays in effect for 4 s at most, even if every call to the new one
+/// fails. If the old watch had ended before, the remainder of its six seconds still applies.
 #[test]
-fn a_move_by_sighup_leaves_the_old_list_four_seconds_and_no_new_six() {
-    let play = |ends_before: bool| {
-        let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
+fn sighup_to_another_discovery_keeps_the_old_list_for_four_seconds_at_most() {
+    let run = |watch_ended_before: bool| {
+        let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
         let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
         let [old, new] = listeners;
         let mut config = config(old.local_addr().expect("an address"));
         config["settings"]["rules"]["ask_every_ms"] = 200_000.0.into();
         let daemon = Daemon::start(&config, None);
-        let watch = tells(&old, &json!({"rev": 9, "all": true, "targets": [one.entry("active")]}));
+        let watch = serve_list(&old, &json!({"rev": 9, "all": true, "targets": [draining.entry("active")]}));
         daemon.wait_ready();
         let http = daemon.address("http");
-        let job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+        let send_job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
         let status =
             |client: TcpStream| read_message(&mut BufReader::new(client)).map(|answer| answer.status);
         let mut watch = Some(watch);
-        if ends_before {
+        if watch_ended_before {
             watch = None;
             std::thread::sleep(Duration::from_millis(3_000));
         }
         config["discovery"] = new.local_addr().expect("an address").to_string().into();
         daemon.replace(&config.to_string());
         daemon.signal("HUP");
-        let moved = Instant::now();
-        // Of six seconds three are left, of four all.
-        let (served, late) = if ends_before { (1_500, 3_100) } else { (3_000, 4_100) };
-        let at = move |ms: u64| moved + Duration::from_millis(ms);
-        let fails = std::thread::spawn(move || failing(new, Fails::Status503, at(late + 1_000)));
-        std::thread::sleep(at(served).saturating_duration_since(Instant::now()));
-        assert_eq!((status(job(1)), one.count()), (Some(200), 1), "it stopped too early: {ends_before}");
-        std::thread::sleep(at(late).saturating_duration_since(Instant::now()));
-        let waits = job(2);
-        let new = fails.join().expect("a listener");
-        assert_eq!(one.count(), 1, "sent by a list that counts as replaced: {ends_before}");
-        let list = json!({"rev": 1, "all": true, "targets": [one.entry("leaving"), two.entry("active")]});
-        let _watch = tells(&new, &list);
-        assert_eq!((status(waits), one.count(), two.count()), (Some(200), 1, 1));
+        let reloaded = Instant::now();
+        // Three of the six seconds are left if the watch ended before, and all four otherwise.
+        let (served_until, expired_at) = if watch_ended_before { (1_500, 3_100) } else { (3_000, 4_100) };
+        let at = move |ms: u64| reloaded + Duration::from_millis(ms);
+        let failing =
+            std::thread::spawn(move || fail_calls_until(new, CallFailure::Status503, at(expired_at + 1_000)));
+        std::thread::sleep(at(served_until).saturating_duration_since(Instant::now()));
+        assert_eq!(
+            (status(send_job(1)), draining.count()),
+            (Some(200), 1),
+            "jobs were held back too early; watch ended before: {watch_ended_before}"
+        );
+        std::thread::sleep(at(expired_at).saturating_duration_since(Instant::now()));
+        let waiting = send_job(2);
+        let new = failing.join().expect("a listener");
+        assert_eq!(draining.count(), 1, "sent by an expired list; watch ended before: {watch_ended_before}");
+        let list =
+            json!({"rev": 1, "all": true, "targets": [draining.entry("leaving"), other.entry("active")]});
+        let _watch = serve_list(&new, &list);
+        assert_eq!((status(waiting), draining.count(), other.count()), (Some(200), 1, 1));
         drop((old, watch));
     };
     std::thread::scope(|scope| {
-        let plays = [false, true].map(|before| scope.spawn(move || play(before)));
-        assert!(plays.into_iter().all(|play| play.join().is_ok()));
+        let runs = [false, true].map(|before| scope.spawn(move || run(before)));
+        assert!(runs.into_iter().all(|run| run.join().is_ok()));
     });
 }
