--- a/crates/rookspoke/tests/large_lists.rs
+++ b/crates/rookspoke/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of large fleets: complete ones and changes, by size and by form.
+//! Complete lists and changes for large fleets, in several sizes and JSON layouts.
 
 mod common;
 
@@ -9,15 +9,15 @@
 use common::world::*;
 use serde_json::{json, Value};
 
-/// What a dispatcher may go on sending after it was told of a drain, and what the rules on sockets add.
+/// How long a dispatcher may go on sending to a draining log worker, including the allowance for sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
-/// For how long jobs are sent after the grace.
-const WATCHED: Duration = Duration::from_millis(2_500);
-/// The most log workers that a fleet has.
-const LARGEST: usize = 3_200;
+/// How long jobs are sent after the grace.
+const OBSERVATION: Duration = Duration::from_millis(2_500);
+/// The largest number of log workers in a fleet.
+const MAX_FLEET: usize = 3_200;
 
-/// So many entries of log workers that drain, for which a list is as long as it is.
-fn draining(count: usize) -> Vec<Value> {
+/// Entries of draining log workers, which make a list long.
+fn draining_entries(count: usize) -> Vec<Value> {
     let nowhere: SocketAddr = ([127, 0, 0, 1], 9).into();
     let name = |n: usize| format!("s-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1));
     let entry = |n: usize| {
@@ -28,16 +28,16 @@
     (0..count).map(entry).collect()
 }
 
-fn whole(entries: &[Value]) -> Value {
+fn complete_list(entries: &[Value]) -> Value {
     json!({"rev": 1, "all": true, "targets": entries})
 }
 
-fn change(entries: &[Value]) -> Value {
+fn list_change(entries: &[Value]) -> Value {
     json!({"rev": 2, "all": false, "targets": entries})
 }
 
-/// Sends jobs until `until`, each of which has to be served.
-fn serves_until(http: SocketAddr, until: Instant) {
+/// Sends jobs until `until` and requires each to be served.
+fn send_jobs_until(http: SocketAddr, until: Instant) {
     for id in 1.. {
         if Instant::now() >= until {
             return;
@@ -48,183 +48,185 @@
     }
 }
 
-/// A log worker is told to drain in a change of so many entries; nothing new goes there once the grace is over.
-fn drains_in_a_change_of(entries: usize) {
-    let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
+/// A change of this many entries says that a log worker drains. No job may go there after the grace.
+fn check_drain_in_change_of(entries: usize) {
+    let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
+    let discovery = Discovery::of(&[&draining, &other]);
     let daemon = Daemon::over(&discovery);
     let http = daemon.address("http");
-    serves_until(http, Instant::now() + Duration::from_millis(500));
-    let mut changed = draining(entries - 1);
-    changed.push(one.entry("leaving"));
+    send_jobs_until(http, Instant::now() + Duration::from_millis(500));
+    let mut changed = draining_entries(entries - 1);
+    changed.push(draining.entry("leaving"));
     let mut list = changed.clone();
-    list.push(two.entry("active"));
+    list.push(other.entry("active"));
     discovery.set(list);
-    let told = Instant::now();
-    discovery.say(&change(&changed).to_string());
-    serves_until(http, told + DRAIN_GRACE);
-    let before = one.count();
-    serves_until(http, told + DRAIN_GRACE + WATCHED);
+    let announced = Instant::now();
+    discovery.say(&list_change(&changed).to_string());
+    send_jobs_until(http, announced + DRAIN_GRACE);
+    let before = draining.count();
+    send_jobs_until(http, announced + DRAIN_GRACE + OBSERVATION);
     assert_eq!(
-        one.count() - before,
+        draining.count() - before,
         0,
-        "jobs sent to a draining log worker, of a change of {entries} entries"
+        "jobs sent to a draining log worker after a change of {entries} entries"
     );
-    assert!(two.count() > 0, "{entries} entries");
+    assert!(other.count() > 0, "{entries} entries");
 }
 
 #[test]
-fn no_job_goes_to_a_log_worker_that_drains_in_a_change_of_over_64_kib() {
+fn no_job_goes_to_a_log_worker_that_drains_by_a_change_of_over_64_kib() {
     std::thread::scope(|scope| {
-        let sizes =
-            [400, 480, 1_600, LARGEST].map(|size| (size, scope.spawn(move || drains_in_a_change_of(size))));
+        let runs = [400, 480, 1_600, MAX_FLEET]
+            .map(|size| (size, scope.spawn(move || check_drain_in_change_of(size))));
         let failed: Vec<_> =
-            sizes.into_iter().filter_map(|(size, play)| play.join().err().map(|_| size)).collect();
-        assert!(failed.is_empty(), "changes of {failed:?} entries");
+            runs.into_iter().filter_map(|(size, run)| run.join().err().map(|_| size)).collect();
+        assert!(failed.is_empty(), "failed for changes of {failed:?} entries");
     });
 }
 
-/// How a list is written.
-type Form = dyn Fn(&[Value]) -> String + Sync;
+/// Writes a list in one JSON layout.
+type Layout = dyn Fn(&[Value]) -> String + Sync;
 
-/// A process that knows no list starts with one in this form.
-fn starts_with(form: &str, list: &str, worker: &Worker) {
+/// Starts a process without a known list, whose first list is in this layout.
+fn check_start_with(layout: &str, list: &str, worker: &Worker) {
     let discovery = Discovery::start(Vec::new());
     discovery.set_text(list);
     let daemon = Daemon::start(&config(discovery.address), None);
     let started = Instant::now();
     let http = daemon.address("http");
     while get(http, "/health/ready").status != 200 {
-        assert!(started.elapsed() < Duration::from_secs(10), "not ready with a list that is {form}");
+        assert!(started.elapsed() < Duration::from_secs(10), "not ready with a list that is {layout}");
         std::thread::sleep(Duration::from_millis(20));
     }
     let answer = ask(http, &post("log-lookup", "0000000000000001", 9_000, ""));
-    assert_eq!((answer.status, worker.count()), (200, 1), "a list that is {form}");
-    assert!(daemon.counters("http").contains(" lists_failed=0 "), "a list that is {form}");
+    assert_eq!((answer.status, worker.count()), (200, 1), "a list that is {layout}");
+    assert!(daemon.counters("http").contains(" lists_failed=0 "), "a list that is {layout}");
 }
 
 #[test]
-fn a_process_is_ready_within_10_s_with_a_first_list_of_3200() {
+fn process_is_ready_within_10_s_with_a_first_list_of_3200() {
     let list = |worker: &Worker| {
-        let mut entries = draining(LARGEST - 1);
+        let mut entries = draining_entries(MAX_FLEET - 1);
         entries.push(worker.entry("active"));
         entries
     };
-    let compact = |entries: &[Value]| whole(entries).to_string();
-    let indented = |entries: &[Value]| serde_json::to_string_pretty(&whole(entries)).expect("JSON");
-    // Each entry on a line of its own, which ends as the object does.
+    let compact = |entries: &[Value]| complete_list(entries).to_string();
+    let indented = |entries: &[Value]| serde_json::to_string_pretty(&complete_list(entries)).expect("JSON");
+    // One entry per line, so that each line ends with `}` as the whole object does.
     let comma_first = |entries: &[Value]| {
         let lines: Vec<String> = entries.iter().map(Value::to_string).collect();
         format!("{{\"rev\":1,\"all\":true,\"targets\":[{}\n]}}", lines.join("\n,"))
     };
     std::thread::scope(|scope| {
-        let forms: [(&str, &Form); 3] =
-            [("on one line", &compact), ("indented", &indented), ("an entry to a line", &comma_first)];
-        let plays = forms.map(|(form, write)| {
-            let play = scope.spawn(move || {
+        let layouts: [(&str, &Layout); 3] =
+            [("on one line", &compact), ("indented", &indented), ("one entry per line", &comma_first)];
+        let runs = layouts.map(|(layout, write)| {
+            let run = scope.spawn(move || {
                 let worker = Worker::serving("w-1");
-                starts_with(form, &write(&list(&worker)), &worker);
+                check_start_with(layout, &write(&list(&worker)), &worker);
             });
-            (form, play)
+            (layout, run)
         });
         let failed: Vec<_> =
-            plays.into_iter().filter_map(|(form, play)| play.join().err().map(|_| form)).collect();
+            runs.into_iter().filter_map(|(layout, run)| run.join().err().map(|_| layout)).collect();
         assert!(failed.is_empty(), "{failed:?}");
     });
 }
 
 #[test]
-fn one_unreadable_entry_leaves_the_rest_of_a_change_in_force() {
-    let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
+fn one_unreadable_entry_leaves_the_rest_of_a_change_in_effect() {
+    let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
+    let discovery = Discovery::of(&[&draining, &other]);
     let daemon = Daemon::over(&discovery);
     let http = daemon.address("http");
-    let mut unreadable = entry("w-3", one.address, "leaving");
+    let mut unreadable = entry("w-3", draining.address, "leaving");
     unreadable["endpoint"] = "nowhere".into();
-    let changed = [unreadable, one.entry("leaving")];
-    discovery.set([&changed[..], &[two.entry("active")]].concat());
-    let told = Instant::now();
-    discovery.say(&change(&changed).to_string());
-    serves_until(http, told + DRAIN_GRACE);
-    let before = one.count();
-    serves_until(http, told + DRAIN_GRACE + WATCHED);
-    assert_eq!(one.count() - before, 0, "jobs sent to a draining log worker");
+    let changed = [unreadable, draining.entry("leaving")];
+    discovery.set([&changed[..], &[other.entry("active")]].concat());
+    let announced = Instant::now();
+    discovery.say(&list_change(&changed).to_string());
+    send_jobs_until(http, announced + DRAIN_GRACE);
+    let before = draining.count();
+    send_jobs_until(http, announced + DRAIN_GRACE + OBSERVATION);
+    assert_eq!(draining.count() - before, 0, "jobs sent to a draining log worker");
     daemon.wait_counters("http", &["lists=2", "lists_failed=0", "list_entries_unreadable=1"]);
 }
 
-/// What is told of a log worker cannot be read: it may be that it drains.
+/// An entry that cannot be read may say that the log worker drains.
 #[test]
 fn no_job_goes_to_a_log_worker_whose_entry_became_unreadable() {
-    let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
+    let (worker, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
+    let discovery = Discovery::of(&[&worker, &other]);
     let daemon = Daemon::over(&discovery);
     let http = daemon.address("http");
-    let told = Instant::now();
-    discovery.say(&change(&[one.entry("resting")]).to_string());
-    serves_until(http, told + DRAIN_GRACE);
-    let before = one.count();
-    serves_until(http, told + DRAIN_GRACE + Duration::from_millis(500));
-    assert_eq!(one.count(), before, "jobs sent to it");
-    discovery.say(&change(&[one.entry("active"), two.entry("leaving")]).to_string());
-    wait_for("jobs at it again", || {
-        serves_until(http, Instant::now() + Duration::from_millis(50));
-        (one.count() > before).then_some(())
+    let announced = Instant::now();
+    discovery.say(&list_change(&[worker.entry("resting")]).to_string());
+    send_jobs_until(http, announced + DRAIN_GRACE);
+    let before = worker.count();
+    send_jobs_until(http, announced + DRAIN_GRACE + Duration::from_millis(500));
+    assert_eq!(worker.count(), before, "jobs sent to a log worker with an unreadable entry");
+    discovery.say(&list_change(&[worker.entry("active"), other.entry("leaving")]).to_string());
+    wait_for("jobs to be sent to it again", || {
+        send_jobs_until(http, Instant::now() + Duration::from_millis(50));
+        (worker.count() > before).then_some(())
     });
 }
 
 #[test]
-fn one_unreadable_entry_of_the_list_last_known_keeps_no_process_from_starting() {
+fn process_starts_with_one_unreadable_entry_in_the_known_list() {
     let worker = Worker::serving("w-1");
     let mut config = config(([127, 0, 0, 1], 9).into());
-    config["known"] = whole(&[worker.entry("active"), json!({"uid": "w-2"})]);
+    config["known"] = complete_list(&[worker.entry("active"), json!({"uid": "w-2"})]);
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     assert_eq!(ask(daemon.address("http"), &post("log-lookup", "01", 5_000, "")).status, 200);
 }
 
-/// A change that nobody can read was told, and then the whole list, to whoever asks for it.
+/// Discovery sends an unreadable change in which a log worker drains. The dispatcher must then ask for the complete list,
+/// which is readable.
 #[test]
-fn a_change_that_cannot_be_read_is_not_taken_for_no_change() {
-    let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
+fn unreadable_change_makes_the_dispatcher_fetch_the_complete_list() {
+    let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
+    let discovery = Discovery::of(&[&draining, &other]);
     let daemon = Daemon::over(&discovery);
     let http = daemon.address("http");
-    // What follows the version held is unreadable each time; the whole list is not.
+    // The changes after the dispatcher's version are unreadable each time; the complete list is readable.
     discovery.set_changes(Some("{\"rev\":2,\"all\":false,\"targets\":[{]}"));
-    discovery.set(vec![one.entry("leaving"), two.entry("active")]);
-    let told = Instant::now();
+    discovery.set(vec![draining.entry("leaving"), other.entry("active")]);
+    let announced = Instant::now();
     discovery.say("{\"rev\":2,\"all\":false,\"targets\":[{]}");
-    serves_until(http, told + DRAIN_GRACE);
-    let before = one.count();
-    serves_until(http, told + DRAIN_GRACE + WATCHED);
-    assert_eq!(one.count() - before, 0, "jobs sent to a draining log worker");
+    send_jobs_until(http, announced + DRAIN_GRACE);
+    let before = draining.count();
+    send_jobs_until(http, announced + DRAIN_GRACE + OBSERVATION);
+    assert_eq!(draining.count() - before, 0, "jobs sent to a draining log worker");
     daemon.wait_counters("http", &["lists_unusable=1"]);
 }
 
-/// Discovery says nothing that makes sense any more: jobs wait, and do not go by a list that something was told about.
+/// When neither changes nor the complete list can be read, jobs wait rather than go by the old list, which is known to have
+/// changed.
 #[test]
-fn no_job_goes_by_a_list_whose_changes_cannot_be_read() {
-    let one = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&one]);
+fn jobs_wait_when_neither_changes_nor_the_complete_list_can_be_read() {
+    let worker = Worker::serving("w-1");
+    let discovery = Discovery::of(&[&worker]);
     let daemon = Daemon::over(&discovery);
     let http = daemon.address("http");
     discovery.set_changes(Some("nonsense"));
     discovery.set_text("nonsense");
-    let told = Instant::now();
+    let announced = Instant::now();
     discovery.say("nonsense");
-    std::thread::sleep((told + DRAIN_GRACE).saturating_duration_since(Instant::now()));
-    let before = one.count();
-    let late = send(http, &post("log-lookup", "0000000000000701", 9_000, ""));
+    std::thread::sleep((announced + DRAIN_GRACE).saturating_duration_since(Instant::now()));
+    let before = worker.count();
+    let waiting = send(http, &post("log-lookup", "0000000000000701", 9_000, ""));
     std::thread::sleep(Duration::from_secs(2));
-    assert_eq!(one.count(), before, "a job was sent by the old list");
+    assert_eq!(worker.count(), before, "a job was sent by the old list");
     discovery.set_changes(None);
-    discovery.set(vec![one.entry("active")]);
-    let answer = read_message(&mut BufReader::new(late)).expect("an answer");
-    assert_eq!(answer.status, 200, "once a list can be read again");
+    discovery.set(vec![worker.entry("active")]);
+    let answer = read_message(&mut BufReader::new(waiting)).expect("an answer");
+    assert_eq!(answer.status, 200, "a waiting job is served once a list can be read again");
 }
 
-/// Takes calls, and writes this list to each piece by piece.
-fn writes_in_pieces(list: String, piece: usize, pause: Duration) -> SocketAddr {
+/// A discovery that writes this list in pieces to every call. Returns its address.
+fn discovery_writing_in_pieces(list: String, piece: usize, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -251,40 +253,43 @@
     address
 }
 
-/// A crowded discovery writes some hundred lines a second.
+/// An overloaded discovery writes only some hundred lines a second. A list that arrives that slowly must not be taken for a
+/// silent watch.
 #[test]
-fn a_list_that_takes_seconds_to_write_is_no_silent_watch() {
+fn list_that_takes_seconds_to_arrive_is_not_a_silent_watch() {
     let worker = Worker::serving("w-1");
-    let mut entries = draining(LARGEST - 1);
+    let mut entries = draining_entries(MAX_FLEET - 1);
     entries.push(worker.entry("active"));
-    let list = whole(&entries).to_string() + "\n";
+    let list = complete_list(&entries).to_string() + "\n";
     let piece = list.len() / 40;
-    let daemon = Daemon::start(&config(writes_in_pieces(list, piece, Duration::from_millis(100))), None);
+    let daemon =
+        Daemon::start(&config(discovery_writing_in_pieces(list, piece, Duration::from_millis(100))), None);
     let started = Instant::now();
     let http = daemon.address("http");
     while get(http, "/health/ready").status != 200 {
         assert!(started.elapsed() < Duration::from_secs(10), "not ready");
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(started.elapsed() > Duration::from_secs(3), "it was written slowly");
+    assert!(started.elapsed() > Duration::from_secs(3), "the list was written too fast for this test");
     assert_eq!(ask(http, &post("log-lookup", "01", 5_000, "")).status, 200);
     daemon.wait_counters("http", &["lists=1", "lists_failed=0"]);
 }
 
-/// Spaces for ever are no word of the list, and no list either: the watch is given up as a silent one is.
+/// Endless spaces are neither a heartbeat nor a list, so the watch ends as a silent one does.
 #[test]
-fn a_watch_that_writes_nothing_but_spaces_is_a_silent_one() {
-    let text = whole(&draining(1)).to_string() + "\n" + &" ".repeat(1_000_000);
-    let daemon = Daemon::start(&config(writes_in_pieces(text, 1_000, Duration::from_millis(20))), None);
+fn watch_that_writes_only_spaces_ends_as_a_silent_one() {
+    let text = complete_list(&draining_entries(1)).to_string() + "\n" + &" ".repeat(1_000_000);
+    let daemon =
+        Daemon::start(&config(discovery_writing_in_pieces(text, 1_000, Duration::from_millis(20))), None);
     daemon.wait_log("list update applied");
     let listed = Instant::now();
     daemon.wait_log("the watch was silent");
     assert!(listed.elapsed() < Duration::from_secs(6), "given up after {:?}", listed.elapsed());
 }
 
-/// Kept connections fill all the room that there is; a job for another log worker takes the place of the oldest.
+/// Pooled connections use up the socket limit. A connection to another log worker must then replace the oldest of them.
 #[test]
-fn kept_connections_leave_room_for_one_to_another_log_worker() {
+fn pooled_connections_make_room_for_a_connection_to_another_log_worker() {
     let workers: Vec<Worker> = (0..60).map(|n| Worker::serving(&format!("w-{n}"))).collect();
     let discovery = Discovery::of(&workers.iter().collect::<Vec<_>>());
     let mut config = config(discovery.address);
@@ -302,28 +307,28 @@
     daemon.wait_counters("http", &["served=400", "connections_without_room=0"]);
 }
 
-/// The most memory that the process has held, in MB.
+/// The peak resident memory of the process, in MB.
 fn peak_memory_mb(daemon: &Daemon) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", daemon.pid())).expect("a process");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
     peak.trim().trim_end_matches(" kB").trim().parse::<u64>().expect("a number") / 1024
 }
 
-/// Some eight megabytes of entries of one byte each, and of spaces: the least memory that a deployment gives holds them.
+/// Lists of 8 MB of one-digit entries and of 12 MB of spaces must fit into the smallest memory that a deployment gives.
 #[test]
-fn a_list_of_junk_takes_no_more_memory_than_the_least_deployment_gives() {
-    const LEAST_MB: u64 = 32;
+fn list_of_junk_fits_into_the_smallest_memory_limit_of_a_deployment() {
+    const SMALLEST_LIMIT_MB: u64 = 32;
     let worker = Worker::serving("w-1");
     for junk in ["7,".repeat(4_000_000), " ".repeat(12_000_000)] {
         let discovery = Discovery::of(&[&worker]);
         let daemon = Daemon::over(&discovery);
         discovery.say(&format!("{{\"rev\":2,\"all\":false,\"targets\":[{junk}7]}}"));
-        wait_for("it to be turned down", || {
+        wait_for("the list to be rejected", || {
             daemon.counters("http").contains(" lists_unusable=1 ").then_some(())
         });
         let peak = peak_memory_mb(&daemon);
-        assert!(peak <= LEAST_MB, "{peak} MB at the most");
-        // The next list is taken.
-        serves_until(daemon.address("http"), Instant::now() + Duration::from_millis(1_500));
+        assert!(peak <= SMALLEST_LIMIT_MB, "peak of {peak} MB");
+        // The daemon goes on with the next list.
+        send_jobs_until(daemon.address("http"), Instant::now() + Duration::from_millis(1_500));
     }
 }
