--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -109,7 +109,7 @@
         let (rig, outcome) = run_until_valid(SMALL_SCENARIO).await;
         assert_kept(&outcome);
         assert!(outcome.report.jobs > 30 && outcome.report.service > 0.8, "{:?}", outcome.report);
-        assert_eq!(rig.event_log.count(|seen| matches!(seen, Event::CounterCheck { .. })), 3);
+        assert_eq!(rig.event_log.count(|entry| matches!(entry, Event::CounterCheck { .. })), 3);
     });
 }
 
@@ -254,12 +254,15 @@
         let (rig, outcome) = run_until_valid(text).await;
         assert_kept(&outcome);
         assert_eq!(
-            rig.event_log.count(|s| matches!(s, Event::Dispatcher { event: ProcessEvent::Resumed, .. })),
+            rig.event_log
+                .count(|entry| matches!(entry, Event::Dispatcher { event: ProcessEvent::Resumed, .. })),
             1
         );
         assert_eq!(
-            rig.event_log
-                .count(|s| matches!(s, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. })),
+            rig.event_log.count(|entry| matches!(
+                entry,
+                Event::Closed { outcome: RequestOutcome::ConnectionLost, .. }
+            )),
             0
         );
     });
@@ -303,8 +306,8 @@
     });
 }
 
-/// All watches fall silent for good, and a third of the log workers begin to drain right after but stay up. A missed drain
-/// counts as announced after 6 s, so by then no dispatcher may send any job to any log worker.
+/// All watches fall silent for 11 s, and a third of the log workers begin to drain right after but stay up. A missed drain
+/// counts as announced after 6 s, so from then on no dispatcher may send a job to any log worker until a list arrives.
 #[test]
 fn all_dispatchers_respect_drains_missed_by_silent_watches() {
     run_multi_threaded(async {
@@ -317,7 +320,7 @@
         .await;
         assert_kept(&outcome);
         let notified =
-            rig.event_log.count(|seen| matches!(seen, Event::Notified { accepts_work: false, .. }));
+            rig.event_log.count(|entry| matches!(entry, Event::Notified { accepts_work: false, .. }));
         assert_eq!(notified, 8, "each of four dispatchers must learn of two drains in the end");
         let end = outcome.report.windows.last().expect("a window").service;
         assert!(end > 0.3, "jobs must be served again once a list arrives: {end}");
@@ -353,7 +356,7 @@
         tokio::time::sleep(Duration::from_millis(600)).await;
         rig.kill_dispatcher(0).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
-        assert_eq!(rig.event_log.count(|seen| matches!(seen, Event::Reached { .. })), 0);
+        assert_eq!(rig.event_log.count(|entry| matches!(entry, Event::Reached { .. })), 0);
         assert_eq!(
             half.read(&mut [0; 16]).await.unwrap_or(0),
             0,
@@ -372,7 +375,8 @@
         let (rig, outcome) = run_until_valid(text).await;
         assert_kept(&outcome);
         assert_eq!(
-            rig.event_log.count(|s| matches!(s, Event::Dispatcher { event: ProcessEvent::Killed, .. })),
+            rig.event_log
+                .count(|entry| matches!(entry, Event::Dispatcher { event: ProcessEvent::Killed, .. })),
             4
         );
         let end = outcome.report.windows.last().expect("a window").service;
@@ -393,7 +397,7 @@
         let (rig, outcome) = run_until_valid(text).await;
         assert_kept(&outcome);
         let event_count = |which: ProcessEvent| {
-            rig.event_log.count(|seen| matches!(seen, Event::Dispatcher { event, .. } if *event == which))
+            rig.event_log.count(|entry| matches!(entry, Event::Dispatcher { event, .. } if *event == which))
         };
         assert_eq!(
             (
@@ -405,7 +409,7 @@
         );
         let lost = rig
             .event_log
-            .count(|seen| matches!(seen, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. }));
+            .count(|entry| matches!(entry, Event::Closed { outcome: RequestOutcome::ConnectionLost, .. }));
         assert_eq!(lost, 0, "requests accepted and not answered");
         assert!(rig.dispatchers_in_rotation() == 6 && outcome.report.service > 0.6, "{:?}", outcome.report);
     });
@@ -422,7 +426,7 @@
         let (rig, outcome) = run_until_valid(text).await;
         assert_kept(&outcome);
         let event_count = |which: ProcessEvent| {
-            rig.event_log.count(|seen| matches!(seen, Event::Dispatcher { event, .. } if *event == which))
+            rig.event_log.count(|entry| matches!(entry, Event::Dispatcher { event, .. } if *event == which))
         };
         assert_eq!(event_count(ProcessEvent::Terminated), 4);
         assert_eq!(rig.dispatchers_in_rotation(), 4);
