--- a/crates/rookspoke/tests/commands.rs
+++ b/crates/rookspoke/tests/commands.rs
@@ -34,30 +34,30 @@
 /// A site without the platform needs no JSON and no discovery; a reload moves it to another list.
 #[test]
 fn a_fixed_list_serves_and_a_reload_changes_it() {
-    let (one, two) = (Worker::giving("w-1", "from one"), Worker::giving("w-2", "from two"));
-    let daemon = Daemon::of_site(&site(&[&one], ""));
+    let (one, two) = (Worker::serving_with("w-1", "from one"), Worker::serving_with("w-2", "from two"));
+    let daemon = Daemon::serve_file(&site(&[&one], ""));
     daemon.wait_ready();
     let http = daemon.address("http");
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000001", 5000, "")).text(), "from one");
+    assert_eq!(exchange(http, &job_request("log-lookup", "0000000000000001", 5000, "")).text(), "from one");
     // Valid in itself, with one part that only a restart heeds.
-    daemon.replace_site(&site(&[&two], "name another\n"));
+    daemon.replace_config_file(&site(&[&two], "name another\n"));
     daemon.signal("HUP");
     let line = daemon.wait_log("settings in effect only after a restart");
     assert!(line.ends_with("restart: name"), "{line}");
     daemon.wait_counters("http", &["lists=2"]);
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000002", 5000, "")).text(), "from two");
+    assert_eq!(exchange(http, &job_request("log-lookup", "0000000000000002", 5000, "")).text(), "from two");
     // One that makes no sense changes nothing, and says where.
-    daemon.replace_site("listen 127.0.0.1:0\nclass {\n");
+    daemon.replace_config_file("listen 127.0.0.1:0\nclass {\n");
     daemon.signal("HUP");
     let line = daemon.wait_log("new configuration rejected");
     assert!(line.contains("site.conf:2:1: "), "{line}");
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000003", 5000, "")).text(), "from two");
+    assert_eq!(exchange(http, &job_request("log-lookup", "0000000000000003", 5000, "")).text(), "from two");
     assert_eq!(one.count(), 1);
 }
 
 #[test]
 fn check_says_what_holds_or_where_it_is_wrong() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let file = |text: &str| std::fs::write(folder.path().join("site.conf"), text).expect("a file");
     file("listen 127.0.0.1:3000\nclass a {\n effect safe\n aim 1s\n deadline 2s\n}\nworker w {\n address 127.0.0.1:1\n}\n");
     let good = run(folder.path(), &["check", "site.conf"]);
@@ -79,7 +79,7 @@
 
 #[test]
 fn config_show_names_flag_environment_file_and_default() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let site = "listen 127.0.0.1:3000\nclass a {\n effect safe\n aim 1s\n deadline 2s\n}\nworker w {\n address 127.0.0.1:1\n}\n";
     std::fs::write(folder.path().join("site.conf"), site).expect("a file");
     let mut command = program(folder.path());
@@ -99,7 +99,7 @@
 
 #[test]
 fn completions_and_manual_know_every_command() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let commands = ["serve", "check", "config", "status", "completions", "man"];
     for shell in ["bash", "zsh", "fish"] {
         let script = text(&run(folder.path(), &["completions", shell]).stdout);
@@ -114,7 +114,7 @@
 #[test]
 fn a_file_of_the_former_form_is_named_with_the_new_one() {
     let nowhere = "127.0.0.1:9".parse().expect("an address");
-    let (mut command, folder) = Daemon::command(&config(nowhere), None);
+    let (mut command, folder) = Daemon::command(&platform_config(nowhere), None);
     std::fs::write(folder.path().join("deploy/faktory.toml"), "enabled = true\n").expect("a file");
     let done = command.output().expect("the daemon runs");
     assert_eq!(done.status.code(), Some(3));
@@ -125,7 +125,7 @@
 fn a_configuration_of_10_mb_or_a_folder_is_turned_down() {
     let nowhere = "127.0.0.1:9".parse().expect("an address");
     let said = |path: &str| {
-        let (mut command, folder) = Daemon::command(&config(nowhere), None);
+        let (mut command, folder) = Daemon::command(&platform_config(nowhere), None);
         std::fs::write(folder.path().join("long.json"), vec![b' '; 10 << 20]).expect("a file");
         let done = command.env("PROXY_CONFIG", path).output().expect("the daemon runs");
         assert_eq!(done.status.code(), Some(3));
@@ -144,16 +144,16 @@
         serve(request, to, "done");
         true
     });
-    let mut daemon = Daemon::of_site(&site(&[&worker], "control {\n path control\n}\n"));
+    let mut daemon = Daemon::serve_file(&site(&[&worker], "control {\n path control\n}\n"));
     daemon.wait_ready();
     let status = |json: bool| {
         let args = ["status", "--control", "control", "--json"];
-        run(daemon.folder(), &args[..if json { 4 } else { 3 }])
+        run(daemon.dir(), &args[..if json { 4 } else { 3 }])
     };
     let whole: Value = serde_json::from_slice(&status(true).stdout).expect("JSON");
     assert_eq!((&whole["ready"], &whole["ending"]), (&true.into(), &false.into()));
     assert!(text(&status(false).stdout).contains("ending              no"));
-    let _open = send(daemon.address("http"), &post("qso-confirm", "0000000000000001", 20_000, ""));
+    let _open = send(daemon.address("http"), &job_request("qso-confirm", "0000000000000001", 20_000, ""));
     wait_for("the job", || (worker.count() == 1).then_some(()));
     daemon.signal("TERM");
     wait_for("a daemon that is ending", || {
@@ -162,21 +162,21 @@
     });
     go.send(()).expect("the log worker waits");
     assert!(daemon.wait_exit().success());
-    assert!(!daemon.folder().join("control").exists(), "the socket goes with it");
-    let gone = run(daemon.folder(), &["status", "--control", "control"]);
+    assert!(!daemon.dir().join("control").exists(), "the socket goes with it");
+    let gone = run(daemon.dir(), &["status", "--control", "control"]);
     assert_eq!(gone.status.code(), Some(4), "{}", text(&gone.stderr));
 }
 
 #[test]
 fn a_stale_control_socket_is_replaced_and_a_live_one_is_not() {
-    let worker = Worker::giving("w-1", "x");
+    let worker = Worker::serving_with("w-1", "x");
     let file = site(&[&worker], "control {\n path control\n}\n");
     // What a killed daemon leaves.
-    let stale = Folder::new();
+    let stale = TempDir::new();
     drop(UnixListener::bind(stale.path().join("control")).expect("a socket"));
     // A process that another test is just starting may hold a copy until it is replaced.
     wait_for("nobody there", || UnixStream::connect(stale.path().join("control")).is_err().then_some(()));
-    let daemon = Daemon::of_site_in(stale, &file);
+    let daemon = Daemon::serve_file_in(stale, &file);
     daemon.wait_ready();
     let says = |folder: &Path| {
         let mut said = String::new();
@@ -186,17 +186,17 @@
             .expect("text");
         serde_json::from_str::<Value>(&said).expect("JSON")["pid"].clone()
     };
-    let first = says(daemon.folder());
-    let second = run(daemon.folder(), &["serve", "--config", "site.conf"]);
+    let first = says(daemon.dir());
+    let second = run(daemon.dir(), &["serve", "--config", "site.conf"]);
     assert_eq!(second.status.code(), Some(1));
     assert!(
         text(&second.stderr).contains("the control socket is in use by another daemon"),
         "{}",
         text(&second.stderr)
     );
-    assert_eq!(says(daemon.folder()), first, "the first still answers");
+    assert_eq!(says(daemon.dir()), first, "the first still answers");
     // One that is no socket is somebody's file.
-    let other = Folder::new();
+    let other = TempDir::new();
     std::fs::write(other.path().join("control"), "precious").expect("a file");
     std::fs::write(other.path().join("site.conf"), &file).expect("a file");
     let third = run(other.path(), &["serve", "--config", "site.conf"]);
@@ -207,9 +207,9 @@
 /// A reader who stopped reading: the pipe fills, lines are dropped and counted, and requests are still answered.
 #[test]
 fn a_full_or_closed_standard_error_holds_up_nothing() {
-    let worker = Worker::giving("w-1", "served");
+    let worker = Worker::serving_with("w-1", "served");
     for closed in [false, true] {
-        let folder = Folder::new();
+        let folder = TempDir::new();
         let more = "log {\n level trace\n queue 16\n}\ncontrol {\n path control\n}\n";
         std::fs::write(folder.path().join("site.conf"), site(&[&worker], more)).expect("a file");
         let mut command = program(folder.path());
@@ -230,7 +230,7 @@
         let stderr = (!closed).then_some(stderr);
         wait_for("ready", || (get(http, "/health/ready").status == 200).then_some(()));
         for n in 0..400 {
-            let answer = ask(http, &post("log-lookup", &format!("{n:016x}"), 5000, ""));
+            let answer = exchange(http, &job_request("log-lookup", &format!("{n:016x}"), 5000, ""));
             assert_eq!(answer.text(), "served");
         }
         let status = run(folder.path(), &["status", "--control", "control", "--json"]);
@@ -253,10 +253,10 @@
         let _ = to.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n{broken}\n");
         false
     });
-    let daemon = Daemon::of_site(&site(&[&worker], "log {\n format json\n}\n"));
+    let daemon = Daemon::serve_file(&site(&[&worker], "log {\n format json\n}\n"));
     daemon.wait_ready();
     let http = daemon.address("http");
-    assert_eq!(ask(http, &post("qso-confirm", "00000000000000ab", 5000, "")).status, 500);
+    assert_eq!(exchange(http, &job_request("qso-confirm", "00000000000000ab", 5000, "")).status, 500);
     let line = daemon.wait_log("unreadable response");
     let line: Value = serde_json::from_str(&line).expect("JSON");
     let span = &line["span"];
@@ -280,11 +280,11 @@
         })
         .collect();
     let workers: Vec<&Worker> = workers.iter().collect();
-    let mut daemon = Daemon::of_site(&site(&workers, "log {\n repeats 1\n level info\n}\n"));
+    let mut daemon = Daemon::serve_file(&site(&workers, "log {\n repeats 1\n level info\n}\n"));
     daemon.wait_ready();
     let http = daemon.address("http");
     let open: Vec<_> =
-        (0..8).map(|n| send(http, &post("qso-confirm", &format!("{n:016x}"), 5000, ""))).collect();
+        (0..8).map(|n| send(http, &job_request("qso-confirm", &format!("{n:016x}"), 5000, ""))).collect();
     for stream in open {
         let answer = read_message(&mut std::io::BufReader::new(stream)).expect("an answer");
         assert_eq!(answer.status, 500);
@@ -305,7 +305,7 @@
 #[test]
 fn the_example_files_are_accepted() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let folder = Folder::new();
+    let folder = TempDir::new();
     for name in ["example.conf", "four-sites.conf"] {
         let file = std::fs::read_to_string(deploy.join(name)).expect("an example");
         std::fs::write(folder.path().join(name), &file).expect("a copy");
--- a/crates/rookspoke/tests/common/faktory.rs
+++ b/crates/rookspoke/tests/common/faktory.rs
@@ -1,64 +1,66 @@
-//! A stand-in Faktory producer and consumer, after the protocol's public specification.
+//! Stand-in Faktory producers and consumers, which follow the protocol's public specification.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
 use serde_json::{json, Value};
 
-use super::world::{config, send, Daemon};
+use super::world::{platform_config, send, Daemon};
 
-/// The file that turns the front on.
-pub const ON: &str = "faktory {\n listen 127.0.0.1:0\n reconnect 100ms\n}\n";
+/// A configuration file that enables the Faktory front.
+pub const FRONT_ENABLED: &str = "faktory {\n listen 127.0.0.1:0\n reconnect 100ms\n}\n";
 
-/// A daemon with the Faktory front on, and without any log worker.
-pub fn daemon(file: &str) -> Daemon {
-    let nowhere = "127.0.0.1:9".parse().expect("an address");
-    Daemon::start(&config(nowhere), Some(file))
+/// Starts a daemon whose Faktory front is enabled by this configuration file, and which reaches no log worker.
+pub fn start_daemon(config_file: &str) -> Daemon {
+    let unreachable_discovery = "127.0.0.1:9".parse().expect("an address");
+    Daemon::start(&platform_config(unreachable_discovery), Some(config_file))
 }
 
-/// A job of this class.
+/// A job whose type (`jobtype`) names its class.
 pub fn job(jid: &str, jobtype: &str) -> Value {
     json!({"jid": jid, "jobtype": jobtype, "args": [1, "two"], "queue": "default"})
 }
 
-/// One connection.
+/// A connection of a producer or consumer.
 pub struct Peer {
     from: BufReader<TcpStream>,
 }
 
 impl Peer {
-    /// Connects without a word.
-    pub fn silent(to: SocketAddr) -> Self {
+    /// Connects and sends nothing.
+    pub fn connect(to: SocketAddr) -> Self {
         Peer { from: BufReader::new(send(to, b"")) }
     }
 
+    /// Connects and sends the HELLO of a producer, which has no worker id.
     pub fn producer(to: SocketAddr) -> Self {
         Self::hello(to, json!({"v": 2}))
     }
 
+    /// Connects and sends the HELLO of a consumer with this worker id.
     pub fn consumer(to: SocketAddr, wid: &str) -> Self {
         Self::hello(to, json!({"v": 2, "wid": wid, "hostname": "h", "pid": 1, "labels": []}))
     }
 
     fn hello(to: SocketAddr, hello: Value) -> Self {
-        let mut peer = Self::silent(to);
+        let mut peer = Self::connect(to);
         assert_eq!(peer.reply(), "+HI {\"v\":2}");
-        assert_eq!(peer.say(&format!("HELLO {hello}")), "+OK");
+        assert_eq!(peer.call(&format!("HELLO {hello}")), "+OK");
         peer
     }
 
-    /// Says a command without waiting.
-    pub fn tell(&mut self, command: &str) {
+    /// Sends a command without waiting for its reply.
+    pub fn send(&mut self, command: &str) {
         let sent = self.from.get_mut().write_all(format!("{command}\r\n").as_bytes());
         sent.expect("the command is sent");
     }
 
-    /// Says this much more, as it stands, and leaves without reading.
-    pub fn part(mut self, last: &str) {
-        self.from.get_mut().write_all(last.as_bytes()).expect("sent");
+    /// Sends these last bytes, unchanged, and closes the connection without reading.
+    pub fn send_and_close(mut self, bytes: &str) {
+        self.from.get_mut().write_all(bytes.as_bytes()).expect("sent");
     }
 
-    /// The next reply: a line as it is, bulk bytes as text, and `nil`.
+    /// Reads the next reply: a simple line unchanged, a bulk string as text, or `nil` for a null bulk string.
     pub fn reply(&mut self) -> String {
         let mut line = String::new();
         self.from.read_line(&mut line).expect("a reply");
@@ -70,39 +72,40 @@
         String::from_utf8(bytes).expect("text").trim_end().into()
     }
 
-    pub fn say(&mut self, command: &str) -> String {
-        self.tell(command);
+    /// Sends a command and reads its reply.
+    pub fn call(&mut self, command: &str) -> String {
+        self.send(command);
         self.reply()
     }
 
     pub fn push(&mut self, job: &Value) -> String {
-        self.say(&format!("PUSH {job}"))
+        self.call(&format!("PUSH {job}"))
     }
 
-    /// What a FETCH under way brings, or the next one that brings anything.
-    pub fn fetched(&mut self) -> Value {
+    /// Reads the job that answers a pending FETCH; on `nil` it sends FETCH again until a job comes.
+    pub fn fetch_pending(&mut self) -> Value {
         let mut reply = self.reply();
         while reply == "nil" {
-            reply = self.say("FETCH default");
+            reply = self.call("FETCH default");
         }
         serde_json::from_str(&reply).expect("a job")
     }
 
     pub fn ack(&mut self, jid: &str) -> String {
-        self.say(&format!("ACK {}", json!({"jid": jid})))
+        self.call(&format!("ACK {}", json!({"jid": jid})))
     }
 
     pub fn fail(&mut self, jid: &str) -> String {
-        self.say(&format!("FAIL {}", json!({"jid": jid, "errtype": "E", "message": "m", "backtrace": []})))
+        self.call(&format!("FAIL {}", json!({"jid": jid, "errtype": "E", "message": "m", "backtrace": []})))
     }
 
     pub fn beat(&mut self, wid: &str, state: &str) -> String {
-        self.say(&format!("BEAT {}", json!({"wid": wid, "current_state": state})))
+        self.call(&format!("BEAT {}", json!({"wid": wid, "current_state": state})))
     }
 
-    /// The figures of INFO.
+    /// The `faktory` object of the reply to INFO.
     pub fn info(&mut self) -> Value {
-        let info: Value = serde_json::from_str(&self.say("INFO")).expect("figures");
+        let info: Value = serde_json::from_str(&self.call("INFO")).expect("JSON");
         info["faktory"].clone()
     }
 }
--- a/crates/rookspoke/tests/common/world.rs
+++ b/crates/rookspoke/tests/common/world.rs
@@ -1,4 +1,5 @@
-//! The daemon as a process, and stand-ins for those it talks to: clients, log workers, discovery.
+//! Runs the daemon as a child process, with stand-ins for its peers: clients, log workers and discovery.
+//! The stand-ins speak the real protocols over TCP on the loopback interface.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -11,12 +12,13 @@
 
 use serde_json::{json, Value};
 
-/// Nothing here takes nearly as long; a test that waits for this has failed.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Upper limit of every wait in the tests. Each step takes far less, so a wait that reaches the limit is a failure.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, worth: f64, aim: f64, deadline: f64| {
-        json!({"name": name, "effect": effect, "gain": worth, "goal_time_ms": aim, "deadline_ms": deadline,
+/// The `settings` object of the platform's configuration, with one safe class and one that must run at most once.
+pub fn platform_settings() -> Value {
+    let class = |name: &str, effect: &str, worth: f64, aim_ms: f64, deadline_ms: f64| {
+        json!({"name": name, "effect": effect, "gain": worth, "goal_time_ms": aim_ms, "deadline_ms": deadline_ms,
                "late_worth": 0.0, "group": "all", "dedup_window_ms": 5000.0, "streamed": false})
     };
     json!({
@@ -33,23 +35,24 @@
     })
 }
 
-/// A folder of its own for each daemon, removed at the end.
-pub struct Folder(PathBuf);
+/// A temporary directory with a name of its own, removed when dropped. Each daemon runs in one.
+pub struct TempDir(PathBuf);
 
-/// Where injected faults are logged, in the daemon's folder.
+/// File in the daemon's directory to which the fault injection library writes each fault.
 const FAULTS_LOG: &str = "faults.log";
 
-/// The library that makes system calls fail; cargo builds it before the tests that depend on it.
+/// Path of the fault injection library, which makes system calls fail; cargo builds it before the tests that
+/// depend on it.
 pub fn faults_library() -> PathBuf {
     let library = Path::new(env!("CARGO_BIN_EXE_rookspoke")).with_file_name("deps/librookspoke_faults.so");
-    assert!(library.exists(), "{} is not there", library.display());
+    assert!(library.exists(), "fault injection library {} does not exist", library.display());
     library
 }
 
-/// A site file's name in its folder.
-const SITE: &str = "site.conf";
+/// Name of the daemon's own configuration file (not the platform's JSON) in its directory.
+const CONFIG_FILE: &str = "site.conf";
 
-impl Folder {
+impl TempDir {
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -58,122 +61,127 @@
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("rookspoke-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(path.join("deploy")).expect("a folder for the test");
-        Folder(path)
+        std::fs::create_dir_all(path.join("deploy")).expect("the test's directory is created");
+        TempDir(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A running daemon; killed when dropped.
+/// A daemon process; killed when dropped. If the test panics, its log is printed.
 pub struct Daemon {
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
-    folder: Arc<Folder>,
+    dir: Arc<TempDir>,
 }
 
-/// What the platform holds for a dispatcher over one version after another: the clients' socket and `$TMPDIR`.
-pub struct Place {
+/// What successive processes of one dispatcher share: the listening socket that the platform hands over, `$TMPDIR`
+/// and the configuration.
+pub struct DispatcherHost {
     listener: TcpListener,
-    folder: Arc<Folder>,
+    dir: Arc<TempDir>,
     config: Value,
 }
 
-impl Place {
+impl DispatcherHost {
     pub fn new(mut config: Value) -> Self {
         config["console"] = "127.0.0.1:0".into();
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-        Place { listener, folder: Arc::new(Folder::new()), config }
+        DispatcherHost { listener, dir: Arc::new(TempDir::new()), config }
     }
 
-    pub fn clients(&self) -> SocketAddr {
+    /// The address to which clients connect.
+    pub fn client_address(&self) -> SocketAddr {
         self.listener.local_addr().expect("an address")
     }
 
-    /// One more process, on descriptor 7.
+    /// Starts one more process, which inherits the listening socket as descriptor 7.
     pub fn start(&self) -> Daemon {
-        let path = self.folder.0.join("config.json");
+        let path = self.dir.0.join("config.json");
         std::fs::write(&path, self.config.to_string()).expect("the configuration is written");
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 7<&0 0</dev/null", env!("CARGO_BIN_EXE_rookspoke")]);
-        command.current_dir(&self.folder.0).env("PROXY_CONFIG", path).env("ROOKSPOKE_LOG", "debug");
-        command.env("PROXY_ACCEPT_FD", "7").env("TMPDIR", &self.folder.0).stdout(Stdio::null());
-        let socket = self.listener.try_clone().expect("a duplicate");
+        command.current_dir(&self.dir.0).env("PROXY_CONFIG", path).env("ROOKSPOKE_LOG", "debug");
+        command.env("PROXY_ACCEPT_FD", "7").env("TMPDIR", &self.dir.0).stdout(Stdio::null());
+        let socket = self.listener.try_clone().expect("the listener is duplicated");
         command.stdin(Stdio::from(std::os::fd::OwnedFd::from(socket)));
-        Daemon::spawn((command, self.folder.clone()))
+        Daemon::spawn((command, self.dir.clone()))
     }
 
-    /// One more process, once it says that it is ready.
-    pub fn ready(&self) -> Daemon {
+    /// Starts one more process and waits until its console reports it as ready.
+    pub fn start_ready(&self) -> Daemon {
         let daemon = self.start();
-        wait_for("ready", || (daemon.operator("GET", "ready").status == 200).then_some(()));
+        wait_for("ready", || (daemon.console_call("GET", "ready").status == 200).then_some(()));
         daemon
     }
 }
 
 impl Daemon {
-    /// How to start one, and the folder that must live as long as it.
-    pub fn command(config: &Value, faktory: Option<&str>) -> (Command, Arc<Folder>) {
-        let folder = Arc::new(Folder::new());
-        let path = folder.0.join("config.json");
+    /// A command that starts a daemon with this platform configuration, and the directory that must outlive it.
+    /// `config_file` is the text of `deploy/rookspoke.conf`, which turns the Faktory front on.
+    pub fn command(config: &Value, config_file: Option<&str>) -> (Command, Arc<TempDir>) {
+        let dir = Arc::new(TempDir::new());
+        let path = dir.0.join("config.json");
         std::fs::write(&path, config.to_string()).expect("the configuration is written");
-        if let Some(text) = faktory {
-            std::fs::write(folder.0.join("deploy/rookspoke.conf"), text).expect("the file is written");
+        if let Some(text) = config_file {
+            std::fs::write(dir.0.join("deploy/rookspoke.conf"), text).expect("the file is written");
         }
-        (command(&path, &folder.0), folder)
+        (platform_command(&path, &dir.0), dir)
     }
 
-    pub fn start(config: &Value, faktory: Option<&str>) -> Self {
-        Self::spawn(Self::command(config, faktory))
+    pub fn start(config: &Value, config_file: Option<&str>) -> Self {
+        Self::spawn(Self::command(config, config_file))
     }
 
-    /// With these variables in its environment.
-    pub fn start_with(config: &Value, variables: &[(&str, String)]) -> Self {
-        let (mut command, folder) = Self::command(config, None);
+    /// Starts a daemon with additional environment variables.
+    pub fn start_with_env(config: &Value, variables: &[(&str, String)]) -> Self {
+        let (mut command, dir) = Self::command(config, None);
         command.envs(variables.iter().cloned());
-        Self::spawn((command, folder))
+        Self::spawn((command, dir))
     }
 
-    /// With system calls that fail by a schedule of `rookspoke-faults`.
+    /// Starts a daemon whose system calls fail as this schedule of `rookspoke-faults` says.
     pub fn start_with_faults(config: &Value, schedule: &str) -> Self {
-        let (mut command, folder) = Self::command(config, None);
-        let log = folder.0.join(FAULTS_LOG);
+        let (mut command, dir) = Self::command(config, None);
+        let log = dir.0.join(FAULTS_LOG);
         command.envs([("ROOKSPOKE_FAULTS", schedule.into()), ("ROOKSPOKE_FAULTS_LOG", log.into_os_string())]);
         command.env("LD_PRELOAD", faults_library());
-        Self::spawn((command, folder))
+        Self::spawn((command, dir))
     }
 
-    /// How often this fault was injected; a play in which it never was proves nothing.
-    pub fn faults(&self, fault: &str) -> usize {
-        let log = std::fs::read_to_string(self.folder.0.join(FAULTS_LOG)).unwrap_or_default();
+    /// How often this fault was injected. A run in which it never was proves nothing, so tests check this.
+    pub fn injected_faults(&self, fault: &str) -> usize {
+        let log = std::fs::read_to_string(self.dir.0.join(FAULTS_LOG)).unwrap_or_default();
         log.lines().filter(|line| *line == fault).count()
     }
 
-    /// Without the platform, by a file of its own.
-    pub fn of_site(file: &str) -> Self {
-        Self::of_site_in(Folder::new(), file)
+    /// Starts `rookspoke serve` with a configuration file of this text, without the platform's variables.
+    pub fn serve_file(text: &str) -> Self {
+        Self::serve_file_in(TempDir::new(), text)
     }
 
-    pub fn of_site_in(folder: Folder, file: &str) -> Self {
-        std::fs::write(folder.0.join(SITE), file).expect("the file is written");
-        let mut command = program(&folder.0);
-        command.args(["serve", "--config", SITE]);
-        Self::spawn((command, Arc::new(folder)))
+    /// As [`Daemon::serve_file`], in a directory that may hold files already.
+    pub fn serve_file_in(dir: TempDir, text: &str) -> Self {
+        std::fs::write(dir.0.join(CONFIG_FILE), text).expect("the file is written");
+        let mut command = program(&dir.0);
+        command.args(["serve", "--config", CONFIG_FILE]);
+        Self::spawn((command, Arc::new(dir)))
     }
 
-    pub fn replace_site(&self, file: &str) {
-        std::fs::write(self.folder.0.join(SITE), file).expect("the file is written");
+    /// Replaces the configuration file given to [`Daemon::serve_file`]; a SIGHUP makes the daemon read it.
+    pub fn replace_config_file(&self, text: &str) {
+        std::fs::write(self.dir.0.join(CONFIG_FILE), text).expect("the file is written");
     }
 
-    pub fn folder(&self) -> &Path {
-        &self.folder.0
+    pub fn dir(&self) -> &Path {
+        &self.dir.0
     }
 
-    pub fn spawn((mut command, folder): (Command, Arc<Folder>)) -> Self {
+    pub fn spawn((mut command, dir): (Command, Arc<TempDir>)) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the daemon starts");
         let log = Arc::new(Mutex::new(Vec::new()));
         let (lines, stderr) = (log.clone(), child.stderr.take().expect("standard error"));
@@ -182,22 +190,22 @@
                 lines.lock().expect("the log").push(line);
             }
         });
-        Daemon { child, log, folder }
+        Daemon { child, log, dir }
     }
 
-    /// A daemon in front of these log workers, once it is ready for clients.
-    pub fn over(discovery: &Discovery) -> Self {
-        let daemon = Daemon::start(&config(discovery.address), None);
+    /// Starts a daemon that uses this discovery, and waits until it is ready for clients.
+    pub fn start_ready(discovery: &Discovery) -> Self {
+        let daemon = Daemon::start(&platform_config(discovery.address), None);
         daemon.wait_ready();
         daemon
     }
 
-    /// Puts another text in the place of its configuration.
-    pub fn replace(&self, text: &str) {
-        std::fs::write(self.folder.0.join("config.json"), text).expect("the configuration is written");
+    /// Replaces the platform's configuration (`PROXY_CONFIG`); a SIGHUP makes the daemon read it.
+    pub fn replace_platform_config(&self, text: &str) {
+        std::fs::write(self.dir.0.join("config.json"), text).expect("the configuration is written");
     }
 
-    /// Waits for a line that holds `text`, and returns it.
+    /// Waits for a log line that contains `text`, and returns it.
     pub fn wait_log(&self, text: &str) -> String {
         let found = || self.log.lock().expect("the log").iter().find(|l| l.contains(text)).cloned();
         wait_for(&format!("a line with {text:?}"), found)
@@ -207,36 +215,36 @@
         self.log.lock().expect("the log").clone()
     }
 
-    /// Where the daemon listens, by its own account.
+    /// The address on which this front of the daemon listens, taken from its log.
     pub fn address(&self, front: &str) -> SocketAddr {
         let line = self.wait_log(&format!("{front} listens at "));
-        // In JSON, more may follow.
+        // In the JSON log format, other fields may follow the address.
         let address = line.split("listens at ").nth(1).expect("an address");
         let end = address.find(|c: char| !c.is_ascii_digit() && !".:".contains(c)).unwrap_or(address.len());
         address[..end].parse().expect("an address")
     }
 
-    /// An operator's call, on a connection of its own.
-    pub fn operator(&self, method: &str, path: &str) -> Message {
+    /// Calls the operators' console on a new connection.
+    pub fn console_call(&self, method: &str, path: &str) -> Message {
         let text = format!("{method} /control/{path} HTTP/1.1\r\nHost: x\r\n\r\n");
-        ask(self.address("console"), text.as_bytes())
+        exchange(self.address("console"), text.as_bytes())
     }
 
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Open descriptors of the process.
-    pub fn descriptors(&self) -> usize {
+    /// Number of open file descriptors of the process.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid())).map_or(0, Iterator::count)
     }
 
-    /// One of the figures that operators get.
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = self.operator("GET", "counters").text();
+    /// Value of one of the metrics that the operators' console serves.
+    pub fn metric(&self, name: &str) -> u64 {
+        let text = self.console_call("GET", "counters").text();
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("proxy.{name}:")));
         let value = line.and_then(|line| line.split_once('|')).map(|(value, _)| value.parse());
-        value.unwrap_or_else(|| panic!("no {name} in {text}")).expect("a number")
+        value.unwrap_or_else(|| panic!("metric {name} is missing from {text}")).expect("a number")
     }
 
     pub fn wait_ready(&self) {
@@ -249,26 +257,26 @@
         assert!(done.expect("kill runs").success());
     }
 
-    /// Kills it at once.
+    /// Sends SIGKILL.
     pub fn kill(&self) {
         self.signal("KILL");
     }
 
     pub fn wait_exit(&mut self) -> ExitStatus {
-        wait_for("the daemon's end", || self.child.try_wait().expect("a child"))
+        wait_for("the daemon to exit", || self.child.try_wait().expect("a child"))
     }
 
-    /// The totals that the daemon prints on request; every request brings a new line.
+    /// The totals of this front, which the daemon logs in a new line on each SIGUSR1.
     pub fn counters(&self, front: &str) -> String {
         let (before, text) = (self.log().len(), format!("{front} counters: "));
         self.signal("USR1");
         wait_for(&text, || self.log()[before..].iter().find(|l| l.contains(&text)).cloned())
     }
 
-    /// Waits until a front's totals hold all of these.
+    /// Waits until the totals of this front contain all of these `name=value` pairs.
     pub fn wait_counters(&self, front: &str, wanted: &[&str]) {
-        let holds = |line: &String| wanted.iter().all(|w| line.split(' ').any(|part| part == *w));
-        wait_for(&format!("{wanted:?}"), || Some(self.counters(front)).filter(holds).map(drop));
+        let matches = |line: &String| wanted.iter().all(|pair| line.split(' ').any(|part| part == *pair));
+        wait_for(&format!("{wanted:?}"), || Some(self.counters(front)).filter(matches).map(drop));
     }
 }
 
@@ -284,16 +292,17 @@
     }
 }
 
-fn command(config: &Path, folder: &Path) -> Command {
-    let mut command = program(folder);
+/// A command that runs the daemon with the platform's configuration.
+fn platform_command(config: &Path, dir: &Path) -> Command {
+    let mut command = program(dir);
     command.env("PROXY_CONFIG", config).env("ROOKSPOKE_LOG", "debug").stdout(Stdio::null());
     command
 }
 
-/// The program in a folder, without the platform's variables.
-pub fn program(folder: &Path) -> Command {
+/// A command that runs the program in this directory, without the platform's environment variables.
+pub fn program(dir: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_rookspoke"));
-    command.current_dir(folder).stdin(Stdio::null());
+    command.current_dir(dir).stdin(Stdio::null());
     for name in
         ["PROXY_CONFIG", "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONSOLE", "ROOKSPOKE_LOG"]
     {
@@ -302,28 +311,30 @@
     command
 }
 
-pub fn config(discovery: SocketAddr) -> Value {
+/// The platform's configuration of a dispatcher that uses discovery at this address.
+pub fn platform_config(discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": null, "settings": settings(),
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": null, "settings": platform_settings(),
     })
 }
 
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Polls until there is a value; panics with `what` after [`TEST_TIMEOUT`].
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(start.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out after {TEST_TIMEOUT:?} waiting for {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An HTTP message: its first line, its headers, its body.
+/// An HTTP request or response. `status` is 0 in a request.
 #[derive(Clone, Debug)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     pub status: u16,
@@ -339,40 +350,42 @@
     }
 }
 
-/// Reads one message; none if the connection ends first.
+/// Reads one message; `None` if the connection ends before it is complete.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut text = String::new();
         let read = from.read_line(&mut text).ok()?;
         (read > 0).then(|| text.trim_end().to_owned())
     };
-    let first = line()?;
+    let start_line = line()?;
     let mut headers = Vec::new();
     while let Some((name, value)) = line()?.split_once(':') {
         headers.push((name.trim().to_owned(), value.trim().to_owned()));
     }
-    let status = first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-    let mut message = Message { first, headers, body: Vec::new(), status };
+    let status = start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+    let mut message = Message { start_line, headers, body: Vec::new(), status };
     let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
     message.body.resize(length, 0);
     from.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
+/// Opens a connection and writes `text` to it; its reads time out after [`TEST_TIMEOUT`].
 pub fn send(to: SocketAddr, text: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read timeout is set");
     stream.write_all(text).expect("sent");
     stream
 }
 
+/// Sends a GET request on a new connection and reads the response.
 pub fn get(to: SocketAddr, path: &str) -> Message {
     let stream = send(to, format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").as_bytes());
     read_message(&mut BufReader::new(stream)).expect("an answer")
 }
 
-/// A job as the platform's clients word it.
-pub fn post(class: &str, id: &str, left_ms: u32, body: &str) -> Vec<u8> {
+/// A job as the platform's clients send it: a POST request with the platform's headers.
+pub fn job_request(class: &str, id: &str, left_ms: u32, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
         "POST /{class}/station-1?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Correlation-Id: {id}\r\n\
@@ -381,18 +394,21 @@
     .into_bytes()
 }
 
-pub fn ask(to: SocketAddr, request: &[u8]) -> Message {
+/// Sends a request on a new connection and reads the response.
+pub fn exchange(to: SocketAddr, request: &[u8]) -> Message {
     read_message(&mut BufReader::new(send(to, request))).expect("an answer")
 }
 
-/// What a log worker does with a request, over the connection that it came on; true keeps that open.
+/// How a stand-in log worker handles a request, given the connection on which it came. True keeps the connection
+/// open.
 pub type Behaviour = dyn Fn(&Message, &mut TcpStream) -> bool + Send + Sync;
 
-/// A stand-in log worker.
+/// A stand-in log worker: records each request and passes it to its behaviour.
 pub struct Worker {
     pub address: SocketAddr,
     pub uid: String,
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    pub requests: Arc<Mutex<Vec<Message>>>,
+    /// Number of connections accepted so far.
     pub connections: Arc<AtomicU32>,
 }
 
@@ -403,18 +419,18 @@
     ) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (seen, behaviour): (Arc<Mutex<Vec<Message>>>, Arc<Behaviour>) =
+        let (requests, behaviour): (Arc<Mutex<Vec<Message>>>, Arc<Behaviour>) =
             (Arc::default(), Arc::new(behaviour));
         let connections = Arc::new(AtomicU32::new(0));
-        let (all, count) = (seen.clone(), connections.clone());
+        let (all_requests, connection_count) = (requests.clone(), connections.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
-                count.fetch_add(1, Ordering::SeqCst);
-                let (seen, behaviour) = (all.clone(), behaviour.clone());
+                connection_count.fetch_add(1, Ordering::SeqCst);
+                let (requests, behaviour) = (all_requests.clone(), behaviour.clone());
                 thread::spawn(move || {
                     let mut from = BufReader::new(stream.try_clone().expect("a clone"));
                     while let Some(message) = read_message(&mut from) {
-                        seen.lock().expect("requests").push(message.clone());
+                        requests.lock().expect("requests").push(message.clone());
                         if !behaviour(&message, &mut stream) {
                             return;
                         }
@@ -422,15 +438,16 @@
                 });
             }
         });
-        Worker { address, uid: uid.into(), seen, connections }
+        Worker { address, uid: uid.into(), requests, connections }
     }
 
+    /// Serves every job with the result `fine`.
     pub fn serving(uid: &str) -> Self {
-        Worker::giving(uid, "fine")
+        Worker::serving_with(uid, "fine")
     }
 
     /// Serves every job with this result.
-    pub fn giving(uid: &str, result: impl Into<String>) -> Self {
+    pub fn serving_with(uid: &str, result: impl Into<String>) -> Self {
         let result = result.into();
         Worker::start(uid, move |request, to| {
             serve(request, to, &result);
@@ -438,38 +455,41 @@
         })
     }
 
+    /// Number of requests received so far.
     pub fn count(&self) -> usize {
-        self.seen.lock().expect("requests").len()
+        self.requests.lock().expect("requests").len()
     }
 
-    /// The ids of the requests that came.
+    /// The correlation ids of the requests received so far.
     pub fn ids(&self) -> Vec<String> {
-        let seen = self.seen.lock().expect("requests");
-        seen.iter().filter_map(|request| request.header("x-correlation-id").map(str::to_owned)).collect()
+        let requests = self.requests.lock().expect("requests");
+        requests.iter().filter_map(|request| request.header("x-correlation-id").map(str::to_owned)).collect()
     }
 
+    /// Its entry in discovery's list.
     pub fn entry(&self, state: &str) -> Value {
-        entry(&self.uid, self.address, state)
+        list_entry(&self.uid, self.address, state)
     }
 }
 
-pub fn entry(uid: &str, endpoint: SocketAddr, state: &str) -> Value {
+/// An entry of discovery's list.
+pub fn list_entry(uid: &str, endpoint: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": endpoint, "az": "bp-vaci", "model": "std4", "pod_group": 1,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// A log worker whose connections come up late: its listener is full until it opens, and the system then takes those who
-/// try again. Requests are counted and never answered.
-pub struct Late {
+/// A log worker whose connections are established late: the backlog of its listener is full until [`LateWorker::open`],
+/// and the system then accepts the SYN packets that are retransmitted. Requests are counted and never answered.
+pub struct LateWorker {
     uid: String,
     listener: Mutex<Option<socket2::Socket>>,
     address: SocketAddr,
-    /// Keep its listener full.
-    full: Mutex<Vec<TcpStream>>,
-    seen: Arc<AtomicU32>,
+    /// Connections that fill the listener's backlog.
+    backlog: Mutex<Vec<TcpStream>>,
+    request_count: Arc<AtomicU32>,
 }
 
-impl Late {
+impl LateWorker {
     pub fn start(uid: &str) -> Self {
         let listener =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -477,61 +497,65 @@
         listener.bind(&any.into()).expect("a port");
         listener.listen(0).expect("a listener");
         let address = listener.local_addr().expect("an address").as_socket().expect("an address");
-        let short = Duration::from_millis(100);
-        let full = std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).take(64).collect();
-        Late {
+        let connect_timeout = Duration::from_millis(100);
+        let backlog = std::iter::from_fn(|| TcpStream::connect_timeout(&address, connect_timeout).ok())
+            .take(64)
+            .collect();
+        LateWorker {
             uid: uid.into(),
             listener: Some(listener).into(),
             address,
-            full: Mutex::new(full),
-            seen: Arc::default(),
+            backlog: Mutex::new(backlog),
+            request_count: Arc::default(),
         }
     }
 
+    /// Its entry in discovery's list.
     pub fn entry(&self, state: &str) -> Value {
-        entry(&self.uid, self.address, state)
+        list_entry(&self.uid, self.address, state)
     }
 
-    /// A configuration that lists it alone, and waits for its connections for longer than any test takes to let it open.
+    /// A configuration whose list contains only this log worker, with a connect timeout longer than any test needs
+    /// to open its listener.
     pub fn config(&self, cancel: bool) -> Value {
-        let mut config = config(Discovery::start(vec![self.entry("active")]).address);
+        let mut config = platform_config(Discovery::start(vec![self.entry("active")]).address);
         config["settings"]["limits"]["connect_timeout_ms"] = 9_000.0.into();
         config["settings"]["limits"]["cancel"] = cancel.into();
         config
     }
 
-    /// Accepts from now on.
-    pub fn opens(&self) {
+    /// Clears the backlog and accepts connections from now on.
+    pub fn open(&self) {
         let listener = self.listener.lock().expect("a listener").take().expect("opened once");
-        let (listener, seen) = (TcpListener::from(listener), self.seen.clone());
-        self.full.lock().expect("connections").clear();
+        let (listener, request_count) = (TcpListener::from(listener), self.request_count.clone());
+        self.backlog.lock().expect("connections").clear();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let seen = seen.clone();
+                let request_count = request_count.clone();
                 thread::spawn(move || {
                     let mut from = BufReader::new(stream);
                     while read_message(&mut from).is_some() {
-                        seen.fetch_add(1, Ordering::SeqCst);
+                        request_count.fetch_add(1, Ordering::SeqCst);
                     }
                 });
             }
         });
     }
 
-    /// Requests that came.
+    /// Number of requests received so far.
     pub fn count(&self) -> usize {
-        self.seen.load(Ordering::SeqCst) as usize
+        self.request_count.load(Ordering::SeqCst) as usize
     }
 }
 
-/// An answer in chunks, one object to each.
-pub fn objects(to: &mut TcpStream, objects: &[Value], end: bool) {
+/// Writes the head of a chunked response and one JSON object per chunk; `end` adds the last chunk.
+pub fn send_objects(to: &mut TcpStream, objects: &[Value], end: bool) {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let _ = to.write_all(format!("{head}{}", chunks(objects, end)).as_bytes());
 }
 
-/// More of an answer that [`objects`] has begun.
-pub fn more_objects(to: &mut TcpStream, objects: &[Value], end: bool) {
+/// Continues a response that [`send_objects`] has begun.
+pub fn send_more_objects(to: &mut TcpStream, objects: &[Value], end: bool) {
     let _ = to.write_all(chunks(objects, end).as_bytes());
 }
 
@@ -541,116 +565,129 @@
     chunks + if end { "0\r\n\r\n" } else { "" }
 }
 
-pub fn state(request: &Message, state: &str) -> Value {
+/// The JSON object with which a log worker reports this state of a request.
+pub fn state_report(request: &Message, state: &str) -> Value {
     json!({"id": request.header("x-correlation-id"), "from": "w", "state": state})
 }
 
+/// Answers a request as started and done with this result.
 pub fn serve(request: &Message, to: &mut TcpStream, result: &str) {
-    let mut done = state(request, "done");
+    let mut done = state_report(request, "done");
     done["result"] = result.into();
-    objects(to, &[state(request, "started"), done], true);
+    send_objects(to, &[state_report(request, "started"), done], true);
 }
 
-/// A stand-in discovery: answers watches with the whole list, then with what is told.
+/// A stand-in discovery service: answers each watch with the whole list, then with the lines that a test sends.
 pub struct Discovery {
     pub address: SocketAddr,
-    news: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
-    /// The whole list, as a watch is first told it.
-    first: Arc<Mutex<String>>,
-    /// What a watch is first told that goes on from a version, if that is not the whole list.
-    changes: Arc<Mutex<Option<String>>>,
+    watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
+    /// The line with the whole list, which a new watch gets first.
+    whole_list: Arc<Mutex<String>>,
+    /// The first line of a watch that resumes from a version, if that is not the whole list.
+    resume_reply: Arc<Mutex<Option<String>>>,
+    /// Number of watches accepted so far.
     pub watches: Arc<AtomicU32>,
-    /// Watches that have not ended, as far as has been noticed.
-    pub open: Arc<AtomicU32>,
+    /// Number of watches whose end has not been noticed yet.
+    pub open_watches: Arc<AtomicU32>,
 }
 
 impl Discovery {
     pub fn start(list: Vec<Value>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let news: Arc<Mutex<Vec<mpsc::Sender<String>>>> = Arc::default();
-        let (first, watches) = (Arc::new(Mutex::new(whole_list(&list))), Arc::new(AtomicU32::new(0)));
-        let open = Arc::new(AtomicU32::new(0));
-        let changes: Arc<Mutex<Option<String>>> = Arc::default();
+        let watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>> = Arc::default();
+        let (whole_list, watches) =
+            (Arc::new(Mutex::new(whole_list_line(&list))), Arc::new(AtomicU32::new(0)));
+        let open_watches = Arc::new(AtomicU32::new(0));
+        let resume_reply: Arc<Mutex<Option<String>>> = Arc::default();
         let discovery = Discovery {
             address,
-            news: news.clone(),
-            first: first.clone(),
-            changes: changes.clone(),
+            watchers: watchers.clone(),
+            whole_list: whole_list.clone(),
+            resume_reply: resume_reply.clone(),
             watches: watches.clone(),
-            open: open.clone(),
+            open_watches: open_watches.clone(),
         };
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (sender, told) = mpsc::channel();
-                // Listed before it is counted: what is told after the count is not missed.
-                let first = {
-                    let first = first.lock().expect("the list");
-                    news.lock().expect("watches").push(sender);
-                    first.clone()
+                let (sender, lines) = mpsc::channel();
+                // Registered before it is counted: a test that has seen the count sends lines that this watch gets.
+                let whole_list = {
+                    let whole_list = whole_list.lock().expect("the list");
+                    watchers.lock().expect("watches").push(sender);
+                    whole_list.clone()
                 };
                 watches.fetch_add(1, Ordering::SeqCst);
-                open.fetch_add(1, Ordering::SeqCst);
-                let (open, changes) = (open.clone(), changes.clone());
+                open_watches.fetch_add(1, Ordering::SeqCst);
+                let (open_watches, resume_reply) = (open_watches.clone(), resume_reply.clone());
                 thread::spawn(move || {
-                    watch(stream, &first, &changes, &told);
-                    open.fetch_sub(1, Ordering::SeqCst);
+                    watch(stream, &whole_list, &resume_reply, &lines);
+                    open_watches.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
         discovery
     }
 
-    pub fn of(workers: &[&Worker]) -> Self {
+    /// Lists these log workers as active.
+    pub fn listing(workers: &[&Worker]) -> Self {
         Discovery::start(workers.iter().map(|w| w.entry("active")).collect())
     }
 
-    /// A line to every watch, as it stands.
-    pub fn say(&self, line: &str) {
-        self.news.lock().expect("watches").iter().for_each(|to| drop(to.send(line.to_owned())));
+    /// Sends a line to every watch, unchanged.
+    pub fn send_line(&self, line: &str) {
+        self.watchers.lock().expect("watches").iter().for_each(|to| drop(to.send(line.to_owned())));
     }
 
-    pub fn change(&self, entry: Value) {
-        self.say(&json!({"rev": 2, "all": false, "targets": [entry]}).to_string());
+    /// Sends every watch a change of this entry.
+    pub fn send_change(&self, entry: Value) {
+        self.send_line(&json!({"rev": 2, "all": false, "targets": [entry]}).to_string());
     }
 
     /// Ends every watch.
-    pub fn break_watches(&self) {
-        self.news.lock().expect("watches").clear();
+    pub fn close_watches(&self) {
+        self.watchers.lock().expect("watches").clear();
     }
 
-    pub fn set(&self, list: Vec<Value>) {
-        self.set_text(&whole_list(&list));
+    /// Sets the list that later watches get.
+    pub fn set_list(&self, list: Vec<Value>) {
+        self.set_list_text(&whole_list_line(&list));
     }
 
-    /// What those are first told that go on from a version, in the place of the whole list.
-    pub fn set_changes(&self, line: Option<&str>) {
-        *self.changes.lock().expect("changes") = line.map(str::to_owned);
+    /// Sets the first line of watches that resume from a version; `None` is the whole list.
+    pub fn set_resume_reply(&self, line: Option<&str>) {
+        *self.resume_reply.lock().expect("the reply") = line.map(str::to_owned);
     }
 
-    /// The whole list in this form, without the end of its last line.
-    pub fn set_text(&self, list: &str) {
-        *self.first.lock().expect("the list") = list.to_owned();
+    /// Sets the text of the whole list, which is sent unchanged with a newline after it.
+    pub fn set_list_text(&self, list: &str) {
+        *self.whole_list.lock().expect("the list") = list.to_owned();
     }
 }
 
-fn whole_list(entries: &[Value]) -> String {
+fn whole_list_line(entries: &[Value]) -> String {
     json!({"rev": 1, "all": true, "targets": entries}).to_string()
 }
 
-fn watch(mut stream: TcpStream, whole: &str, changes: &Mutex<Option<String>>, told: &mpsc::Receiver<String>) {
+/// Serves one watch until its connection or the test's channel closes; an empty line every 500 ms keeps it alive.
+fn watch(
+    mut stream: TcpStream,
+    whole_list: &str,
+    resume_reply: &Mutex<Option<String>>,
+    lines: &mpsc::Receiver<String>,
+) {
     let mut from = BufReader::new(stream.try_clone().expect("a clone"));
-    let Some(call) = read_message(&mut from) else { return };
-    let goes_on = !call.first.contains("after=0 ");
-    let changes = changes.lock().expect("changes").clone().filter(|_| goes_on);
-    let first = chunk(changes.as_deref().unwrap_or(whole));
-    let mut line = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{first}");
+    let Some(request) = read_message(&mut from) else { return };
+    let resumes = !request.start_line.contains("after=0 ");
+    let resume_reply = resume_reply.lock().expect("the reply").clone().filter(|_| resumes);
+    let first = chunk(resume_reply.as_deref().unwrap_or(whole_list));
+    let mut text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{first}");
     loop {
-        if stream.write_all(line.as_bytes()).is_err() {
+        if stream.write_all(text.as_bytes()).is_err() {
             return;
         }
-        line = match told.recv_timeout(Duration::from_millis(500)) {
-            Ok(text) => chunk(&text),
+        text = match lines.recv_timeout(Duration::from_millis(500)) {
+            Ok(line) => chunk(&line),
             Err(mpsc::RecvTimeoutError::Timeout) => chunk(""),
             Err(mpsc::RecvTimeoutError::Disconnected) => return,
         };
--- a/crates/rookspoke/tests/deployment.rs
+++ b/crates/rookspoke/tests/deployment.rs
@@ -11,7 +11,7 @@
 
 /// A job with further lines in its head.
 fn with(lines: &[u8], class: &str, id: u32) -> Vec<u8> {
-    let plain = post(class, &format!("{id:016x}"), 5_000, "");
+    let plain = job_request(class, &format!("{id:016x}"), 5_000, "");
     let head = plain.windows(2).position(|w| w == b"\r\n").expect("a first line") + 2;
     [&plain[..head], lines, &plain[head..]].concat()
 }
@@ -25,7 +25,7 @@
 }
 
 fn daemon(worker: &Worker, change: impl Fn(&mut Value)) -> Daemon {
-    let mut config = config(Discovery::of(&[worker]).address);
+    let mut config = platform_config(Discovery::listing(&[worker]).address);
     config["settings"]["limits"]["second_copies"] = false.into();
     change(&mut config["settings"]);
     let daemon = Daemon::start(&config, None);
@@ -42,7 +42,7 @@
         let answered = stream.peek(&mut [0; 12]).is_ok_and(|n| n > 0);
         (answered || worker.count() > before).then_some(answered)
     });
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     if refused {
         let answer =
             read_message(&mut BufReader::new(stream.try_clone().expect("a clone"))).expect("an answer");
@@ -130,7 +130,7 @@
         (b"X-Account: \xff\r\n", 400),
     ];
     for (id, (lines, status)) in cases.iter().enumerate() {
-        let answer = ask(http, &with(lines, "log-lookup", id as u32));
+        let answer = exchange(http, &with(lines, "log-lookup", id as u32));
         assert_eq!(answer.status, *status, "{}", String::from_utf8_lossy(lines));
     }
     daemon.wait_counters("http", &["taken=3", "served=3", "malformed=3"]);
@@ -145,7 +145,7 @@
 
 /// A daemon whose confirmations may be repeated within a rack for this long.
 fn keyed(discovery: &Discovery, window_ms: f64) -> Daemon {
-    let mut config = config(discovery.address);
+    let mut config = platform_config(discovery.address);
     let class = &mut config["settings"]["classes"][1];
     class["effect"] = "idempotency_key".into();
     class["group"] = "cell".into();
@@ -167,11 +167,11 @@
     let other = Worker::serving("w-3");
     let discovery = Discovery::start(vec![in_rack(&first, 1, "active")]);
     let daemon = keyed(&discovery, 10_000.0);
-    let client = send(daemon.address("http"), &post("qso-confirm", "0000000000000001", 9_000, ""));
+    let client = send(daemon.address("http"), &job_request("qso-confirm", "0000000000000001", 9_000, ""));
     wait_for("the first attempt", || (first.count() == 1).then_some(()));
     // Another rack is there, and its own drains.
-    discovery.change(in_rack(&other, 2, "active"));
-    discovery.change(in_rack(&first, 1, "leaving"));
+    discovery.send_change(in_rack(&other, 2, "active"));
+    discovery.send_change(in_rack(&first, 1, "leaving"));
     daemon.wait_counters("http", &["lists=3"]);
     let ended = Instant::now();
     broke.send(()).expect("it waits");
@@ -191,14 +191,14 @@
     let tries = |key: &str, id: u32| {
         let lines = format!("Idempotency-Key: {key}\r\nX-Repeat: 1\r\n");
         let request = String::from_utf8(with(lines.as_bytes(), "qso-confirm", id)).expect("text");
-        ask(http, request.replace("station-1", key).as_bytes()).status
+        exchange(http, request.replace("station-1", key).as_bytes()).status
     };
     assert_eq!((tries("a", 1), tries("b", 2)), (500, 500), "they may have run");
     let sent = Instant::now();
     // Rack 1 is one other by now, and there are four of rack 2.
-    discovery.change(in_rack(&first, 1, "leaving"));
-    discovery.change(in_rack(&mate, 1, "active"));
-    others.iter().for_each(|other| discovery.change(in_rack(other, 2, "active")));
+    discovery.send_change(in_rack(&first, 1, "leaving"));
+    discovery.send_change(in_rack(&mate, 1, "active"));
+    others.iter().for_each(|other| discovery.send_change(in_rack(other, 2, "active")));
     daemon.wait_counters("http", &["lists=7"]);
     let elsewhere = || others.iter().map(Worker::count).sum::<usize>();
     assert_eq!((tries("a", 3), mate.count(), elsewhere()), (200, 1, 0));
@@ -207,17 +207,17 @@
     assert!(elsewhere() > 0, "all went to rack 1");
     let before = elsewhere() + mate.count();
     // The rack gone, or its window over: failed at once.
-    discovery.change(in_rack(&mate, 1, "leaving"));
+    discovery.send_change(in_rack(&mate, 1, "leaving"));
     daemon.wait_counters("http", &["lists=8"]);
     let asked = Instant::now();
     assert_eq!(tries("b", 40), 500);
     assert!(asked.elapsed() < Duration::from_secs(1), "{:?}: held back", asked.elapsed());
-    discovery.change(in_rack(&mate, 1, "active"));
+    discovery.send_change(in_rack(&mate, 1, "active"));
     daemon.wait_counters("http", &["lists=9"]);
     std::thread::sleep(Duration::from_millis(3_100).saturating_sub(sent.elapsed()));
     assert_eq!(tries("b", 41), 500, "its window is over");
     assert_eq!(elsewhere() + mate.count(), before, "sent on");
     // One that makes no sense harms itself alone.
     let twice = b"Idempotency-Key: a\r\nIdempotency-Key: b\r\n";
-    assert_eq!(ask(http, &with(twice, "qso-confirm", 50)).status, 400);
+    assert_eq!(exchange(http, &with(twice, "qso-confirm", 50)).status, 400);
 }
--- a/crates/rookspoke/tests/drawn_lists.rs
+++ b/crates/rookspoke/tests/drawn_lists.rs
@@ -126,7 +126,7 @@
     fn entries(&self, workers: &[Recorder]) -> Vec<Value> {
         let nowhere: SocketAddr = (Ipv4Addr::LOCALHOST, 9).into();
         let mut entries: Vec<Value> =
-            (0..self.others).map(|n| entry(&format!("other-{n:05}"), nowhere, "leaving")).collect();
+            (0..self.others).map(|n| list_entry(&format!("other-{n:05}"), nowhere, "leaving")).collect();
         if self.has_unreadable {
             entries.push(json!({"uid": "other-x", "state": 7}));
         }
@@ -249,10 +249,10 @@
     let (mut jobs, mut served) = (0, 0);
     while Instant::now() < until {
         let id = format!("{client:04x}{jobs:012x}");
-        let request = String::from_utf8(post("log-lookup", &id, 9_000, "")).expect("text");
+        let request = String::from_utf8(job_request("log-lookup", &id, 9_000, "")).expect("text");
         let request = request.replace("station-1", &format!("station-{}", jobs % 40));
         jobs += 1;
-        served += usize::from(ask(http, request.as_bytes()).status == 200);
+        served += usize::from(exchange(http, request.as_bytes()).status == 200);
         thread::sleep(Duration::from_millis(5));
     }
     (jobs, served)
@@ -273,7 +273,7 @@
     let workers: Vec<Recorder> = (0..SERVING).map(|n| Recorder::start(&format!("w-{n}"))).collect();
     let first: Vec<Value> = workers.iter().map(|worker| worker.0.entry("active")).collect();
     let discovery = Announcer::start(json!({"rev": 1, "all": true, "targets": first}).to_string() + "\n");
-    let daemon = Daemon::start(&config(discovery.address), None);
+    let daemon = Daemon::start(&platform_config(discovery.address), None);
     daemon.wait_ready();
     let http = daemon.address("http");
     let until = Instant::now() + BETWEEN_CHANGES * (CHANGES as u32 + 1);
@@ -330,7 +330,7 @@
 
 #[test]
 fn drains_hold_in_lists_drawn_from_seeds() {
-    let seeds: Vec<u64> = soak::seeds_by_hand().unwrap_or(SEEDS).collect();
+    let seeds: Vec<u64> = soak::seeds_from_env().unwrap_or(SEEDS).collect();
     let mut broken = Vec::new();
     for seeds in seeds.chunks(TOGETHER) {
         thread::scope(|scope| {
--- a/crates/rookspoke/tests/ends.rs
+++ b/crates/rookspoke/tests/ends.rs
@@ -22,15 +22,15 @@
 /// never a reset.
 #[test]
 fn a_close_over_unread_bytes_resets_no_answer() {
-    let worker = Worker::giving("w-1", "x".repeat(60_000));
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let worker = Worker::serving_with("w-1", "x".repeat(60_000));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let close = |text: Vec<u8>| {
         String::from_utf8(text).expect("text").replace("Host:", "Connection: close\r\nHost:").into_bytes()
     };
-    let job = close(post("log-lookup", "0000000000000001", 5_000, ""));
-    let further = post("log-lookup", "0000000000000002", 5_000, "");
-    let long = post("log-lookup", "0000000000000003", 5_000, &"x".repeat(200_000));
+    let job = close(job_request("log-lookup", "0000000000000001", 5_000, ""));
+    let further = job_request("log-lookup", "0000000000000002", 5_000, "");
+    let long = job_request("log-lookup", "0000000000000003", 5_000, &"x".repeat(200_000));
     let cases = [
         ("a request behind the last one", 200, job, further.clone()),
         ("a body that is too long", 413, long[..500].to_vec(), long[500..].to_vec()),
@@ -59,20 +59,20 @@
 /// answered, or never sent on; the process ends in time, though one client takes its answer a byte at a time.
 #[test]
 fn requests_that_arrive_with_the_shutdown_are_answered_or_not_sent() {
-    let worker = Worker::giving("w-1", "x".repeat(30_000));
-    let mut daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let worker = Worker::serving_with("w-1", "x".repeat(30_000));
+    let mut daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let mut resting: Vec<_> = (1..=40)
         .map(|id| {
             let mut client =
-                BufReader::new(send(http, &post("log-lookup", &format!("{id:016x}"), 5_000, "")));
+                BufReader::new(send(http, &job_request("log-lookup", &format!("{id:016x}"), 5_000, "")));
             assert_eq!(read_message(&mut client).expect("an answer").status, 200);
             client
         })
         .collect();
     let mut fresh: Vec<_> = (0..40).map(|_| BufReader::new(send(http, b""))).collect();
     // One that does not read: its answers fill all buffers between.
-    let slow = send(http, &post("log-lookup", "00000000000000ff", 5_000, ""));
+    let slow = send(http, &job_request("log-lookup", "00000000000000ff", 5_000, ""));
     daemon.signal("TERM");
     let told = Instant::now();
     // The process stands still over the moment at which it would close what rests: when it goes on, the requests are
@@ -82,7 +82,7 @@
     let asks = |number: usize, client: &mut BufReader<TcpStream>| {
         client
             .get_mut()
-            .write_all(&post("log-lookup", &format!("{:016x}", 0x100 + number), 5_000, ""))
+            .write_all(&job_request("log-lookup", &format!("{:016x}", 0x100 + number), 5_000, ""))
             .is_ok()
     };
     let rested = resting.iter_mut().enumerate().all(|(number, client)| asks(number, client));
@@ -126,15 +126,15 @@
     };
     // The repeat's own log worker is listed once the first attempt is out.
     let play = |first: &Worker, second: &dyn Fn() -> serde_json::Value, meanwhile: &dyn Fn()| {
-        let discovery = Discovery::of(&[first]);
-        let mut config = config(discovery.address);
+        let discovery = Discovery::listing(&[first]);
+        let mut config = platform_config(discovery.address);
         keyed(&mut config);
         let daemon = Daemon::start(&config, None);
         daemon.wait_ready();
-        let client = send(daemon.address("http"), &post("qso-confirm", "0000000000000001", 6_000, ""));
+        let client = send(daemon.address("http"), &job_request("qso-confirm", "0000000000000001", 6_000, ""));
         wait_for("the first attempt", || (first.count() == 1).then_some(()));
         let sent = Instant::now();
-        discovery.change(second());
+        discovery.send_change(second());
         meanwhile();
         let status = read_message(&mut BufReader::new(client)).expect("an answer").status;
         (status, sent.elapsed())
@@ -153,10 +153,10 @@
         assert!(after < Duration::from_millis(ms + 500), "{after:?}: held back");
     }
     // Decided on inside, and its connection comes up outside.
-    let (first, second) = (break_after(300), Late::start("w-2"));
+    let (first, second) = (break_after(300), LateWorker::start("w-2"));
     let (status, _) = play(&first, &|| second.entry("active"), &|| {
         std::thread::sleep(Duration::from_millis(1_200));
-        second.opens();
+        second.open();
     });
     assert_eq!((status, second.count()), (500, 0), "decided inside, sent outside");
 }
@@ -167,24 +167,24 @@
 fn what_comes_after_an_answers_last_word_harms_nobody() {
     for case in ["a second answer", "a second last word", "a flood", "silence"] {
         let behaviour = move |request: &Message, to: &mut TcpStream| {
-            let mut done = state(request, "done");
+            let mut done = state_report(request, "done");
             done["result"] = "fine".into();
-            let started = state(request, "started");
+            let started = state_report(request, "started");
             let last = format!("{done}\n");
             match case {
                 "a second answer" => {
-                    objects(to, &[started, done], true);
+                    send_objects(to, &[started, done], true);
                     std::thread::sleep(Duration::from_millis(5));
                     serve(request, to, "spoilt");
                 }
-                "a second last word" => objects(to, &[started, done.clone(), done], true),
+                "a second last word" => send_objects(to, &[started, done.clone(), done], true),
                 "a flood" => {
-                    objects(to, &[started, done], false);
+                    send_objects(to, &[started, done], false);
                     let chunk = format!("{:x}\r\n{last}\r\n", last.len()).repeat(1_000);
                     (0..500).all(|_| to.write_all(chunk.as_bytes()).is_ok());
                 }
                 _ => {
-                    objects(to, &[started, done], false);
+                    send_objects(to, &[started, done], false);
                     let _ = to.read(&mut [0]);
                 }
             }
@@ -192,10 +192,10 @@
         };
         // What meets the rest of an earlier answer goes to another, and blames nobody.
         let workers: Vec<Worker> = (1..=4).map(|n| Worker::start(&format!("w-{n}"), behaviour)).collect();
-        let daemon = Daemon::over(&Discovery::of(&workers.iter().collect::<Vec<_>>()));
+        let daemon = Daemon::start_ready(&Discovery::listing(&workers.iter().collect::<Vec<_>>()));
         let http = daemon.address("http");
         for id in 1..=5 {
-            let answer = ask(http, &post("log-lookup", &format!("{id:016x}"), 5_000, ""));
+            let answer = exchange(http, &job_request("log-lookup", &format!("{id:016x}"), 5_000, ""));
             assert_eq!((answer.status, answer.text().as_str()), (200, "fine"), "{case}, job {id}");
         }
         daemon.wait_counters("http", &["served=5", "failed=0", "refused=0"]);
@@ -231,11 +231,12 @@
     // One for each: after a failure a log worker is left alone for a while.
     let workers: Vec<Worker> =
         (0..cuts.len()).map(|n| Worker::start(&format!("w-{n}"), behaviour.clone())).collect();
-    let daemon = Daemon::over(&Discovery::of(&workers.iter().collect::<Vec<_>>()));
+    let daemon = Daemon::start_ready(&Discovery::listing(&workers.iter().collect::<Vec<_>>()));
     let http = daemon.address("http");
     let mut served = 0;
     for cut in &cuts {
-        let answer = ask(http, &post("qso-confirm", &format!("{cut:016x}"), 5_000, &cut.to_string()));
+        let answer =
+            exchange(http, &job_request("qso-confirm", &format!("{cut:016x}"), 5_000, &cut.to_string()));
         match answer.status {
             200 => {
                 served += 1;
@@ -252,13 +253,15 @@
 /// A client that takes a byte of its answer a second holds up nobody, and its connection is not for ever.
 #[test]
 fn a_client_that_takes_a_byte_a_second_holds_up_nobody() {
-    let worker = Worker::giving("w-1", "x".repeat(60_000));
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let worker = Worker::serving_with("w-1", "x".repeat(60_000));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let slow: Vec<TcpStream> = (0..20)
         .map(|id| {
             let mut client = narrow(http);
-            client.write_all(&post("log-lookup", &format!("{:016x}", 0x50 + id), 5_000, "")).expect("sent");
+            client
+                .write_all(&job_request("log-lookup", &format!("{:016x}", 0x50 + id), 5_000, ""))
+                .expect("sent");
             client
         })
         .collect();
@@ -266,7 +269,7 @@
     let mut byte = [0];
     for (second, mut client) in slow.iter().enumerate() {
         assert_eq!(client.read(&mut byte).expect("a byte"), 1);
-        let quick = ask(http, &post("log-lookup", &format!("{:016x}", 0x90 + second), 5_000, ""));
+        let quick = exchange(http, &job_request("log-lookup", &format!("{:016x}", 0x90 + second), 5_000, ""));
         assert_eq!((quick.status, quick.body.len()), (200, 60_000));
     }
 }
@@ -285,12 +288,13 @@
         true
     });
     let other = Worker::serving("w-2");
-    let discovery = Discovery::of(&[&worker]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&worker]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
-    let asks = |class: &str, id: u32| ask(http, &post(class, &format!("{id:016x}"), 5_000, "")).status;
+    let asks =
+        |class: &str, id: u32| exchange(http, &job_request(class, &format!("{id:016x}"), 5_000, "")).status;
     assert_eq!((asks("log-lookup", 1), asks("qso-confirm", 2)), (200, 500), "it may have run");
-    discovery.change(other.entry("active"));
+    discovery.send_change(other.entry("active"));
     daemon.wait_counters("http", &["lists=2"]);
     assert_eq!((asks("log-lookup", 3), other.count()), (200, 0), "kept from a log worker that is well");
     let connections = worker.connections.load(Ordering::SeqCst);
@@ -302,9 +306,9 @@
 #[test]
 fn a_client_that_stops_in_the_middle_of_a_request_is_let_go_within_three_seconds() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let request = |id: u32| post("log-lookup", &format!("{id:016x}"), 60_000, "0123456789");
+    let request = |id: u32| job_request("log-lookup", &format!("{id:016x}"), 60_000, "0123456789");
     let whole = request(1).len();
     let half = |used: bool, id: u32, length: usize| {
         let mut connection = BufReader::new(send(http, b""));
--- a/crates/rookspoke/tests/faktory.rs
+++ b/crates/rookspoke/tests/faktory.rs
@@ -9,7 +9,7 @@
 fn waiting(daemon: &Daemon, wid: &str) -> Peer {
     let to = daemon.address("faktory");
     let mut consumer = Peer::consumer(to, wid);
-    consumer.tell("FETCH default");
+    consumer.send("FETCH default");
     let mut looker = Peer::producer(to);
     wait_for("the consumer", || looker.info()["listed"].as_array()?.iter().any(|w| w == wid).then_some(()));
     consumer
@@ -17,12 +17,12 @@
 
 #[test]
 fn a_job_goes_from_a_producer_to_a_consumer_as_it_came() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let text =
         r#"{"jid":"job-00000001","jobtype":"qso-confirm",  "args":[1,"two"],"custom":{"key":"HA5XX"}}"#;
-    assert_eq!(producer.say(&format!("PUSH {text}")), "+OK");
+    assert_eq!(producer.call(&format!("PUSH {text}")), "+OK");
     assert_eq!(consumer.reply(), text);
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     daemon.wait_counters("faktory", &["taken=1", "served=1", "refused=0", "failed=0", "late_reports=0"]);
@@ -30,7 +30,7 @@
 
 #[test]
 fn what_makes_no_sense_is_answered_with_an_error_and_counted() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let to = daemon.address("faktory");
     let mut producer = Peer::producer(to);
     let long = format!("PUSH {}", "x".repeat(70_000));
@@ -46,7 +46,7 @@
         &long,
     ]
     .iter()
-    .map(|command| producer.say(command))
+    .map(|command| producer.call(command))
     .collect();
     insta::assert_snapshot!(replies.join("\n"), @r#"
     -ERR HELLO was sent before on this connection
@@ -59,15 +59,15 @@
     -ERR malformed ACK: invalid type: integer `7`, expected an object with `jid` at line 1 column 1
     -ERR a command is longer than 65536 bytes
     "#);
-    let mut rude = Peer::silent(to);
+    let mut rude = Peer::connect(to);
     rude.reply();
-    assert_eq!(rude.say("PUSH {}"), "-ERR expected HELLO with v 2 as the first command");
+    assert_eq!(rude.call("PUSH {}"), "-ERR expected HELLO with v 2 as the first command");
     daemon.wait_counters("faktory", &["taken=0", "turned_down=1", "malformed=7"]);
 }
 
 #[test]
 fn without_a_consumer_a_push_is_refused() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut producer = Peer::producer(daemon.address("faktory"));
     let mut job = job("job-00000001", "qso-confirm");
     job["custom"] = serde_json::json!({"time_left_ms": 200});
@@ -81,30 +81,30 @@
 /// Its job has not been accepted, so it may push it again elsewhere: what comes behind the push hides nothing.
 #[test]
 fn a_job_whose_producer_left_before_its_reply_is_handed_to_nobody() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let at = daemon.address("faktory");
     for (number, behind) in ["", "INFO", "INF", "INFO\r\nINFO"].iter().enumerate() {
         let mut leaves = Peer::producer(at);
-        leaves.tell(&format!("PUSH {}", job(&format!("job-gone-{number}"), "log-lookup")));
+        leaves.send(&format!("PUSH {}", job(&format!("job-gone-{number}"), "log-lookup")));
         wait_for("the push", || {
             daemon.counters("faktory").contains(&format!(" taken={} ", number + 1)).then_some(())
         });
-        leaves.part(behind);
+        leaves.send_and_close(behind);
     }
     daemon.wait_counters("faktory", &["taken=4", "client_gone=4", "sent=0"]);
     let mut consumer = Peer::consumer(at, "c-1");
-    assert_eq!(consumer.say("FETCH default"), "nil", "handed out for a producer that had left");
+    assert_eq!(consumer.call("FETCH default"), "nil", "handed out for a producer that had left");
     let mut stays = Peer::producer(at);
     assert_eq!(stays.push(&job("job-stays", "log-lookup")), "+OK");
-    consumer.tell("FETCH default");
-    assert_eq!(consumer.fetched()["jid"], "job-stays");
+    consumer.send("FETCH default");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-stays");
     assert_eq!(consumer.ack("job-stays"), "+OK");
     daemon.wait_counters("faktory", &["taken=5", "client_gone=4", "served=1"]);
 }
 
 #[test]
 fn a_confirmation_whose_consumer_disconnects_is_failed_and_never_handed_out_again() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut first = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let pushed = job("job-00000001", "qso-confirm");
@@ -122,14 +122,14 @@
 
 #[test]
 fn a_lookup_whose_consumer_disconnects_goes_to_another() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut first = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "log-lookup")), "+OK");
-    assert_eq!(first.fetched()["jid"], "job-00000001");
+    assert_eq!(first.fetch_pending()["jid"], "job-00000001");
     let mut second = waiting(&daemon, "c-2");
     drop(first);
-    assert_eq!(second.fetched()["jid"], "job-00000001");
+    assert_eq!(second.fetch_pending()["jid"], "job-00000001");
     assert_eq!(second.ack("job-00000001"), "+OK");
     daemon.wait_counters("faktory", &["taken=1", "served=1", "failed=0", "sent=2"]);
 }
@@ -137,11 +137,11 @@
 /// A reservation belongs to the job's id, not to the connection that fetched it.
 #[test]
 fn an_ack_over_another_connection_of_the_consumer_counts() {
-    let daemon = daemon("faktory {\n listen 127.0.0.1:0\n reconnect 1min\n}\n");
+    let daemon = start_daemon("faktory {\n listen 127.0.0.1:0\n reconnect 1min\n}\n");
     let mut first = waiting(&daemon, "c-1");
     let to = daemon.address("faktory");
     assert_eq!(Peer::producer(to).push(&job("job-00000001", "qso-confirm")), "+OK");
-    assert_eq!(first.fetched()["jid"], "job-00000001");
+    assert_eq!(first.fetch_pending()["jid"], "job-00000001");
     drop(first);
     assert_eq!(Peer::consumer(to, "c-1").ack("job-00000001"), "+OK");
     daemon.wait_counters("faktory", &["taken=1", "served=1", "failed=0", "late_reports=0"]);
@@ -150,7 +150,7 @@
 /// The other hard case: a FAIL may come of a job that finished, so it is not handed out again either.
 #[test]
 fn a_confirmation_reported_failed_is_not_run_again_and_the_first_report_wins() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut first = waiting(&daemon, "c-1");
     let mut second = waiting(&daemon, "c-2");
     let mut producer = Peer::producer(daemon.address("faktory"));
@@ -162,17 +162,17 @@
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "sent=1"]);
     assert_eq!(first.ack("job-00000001"), "+OK");
     assert_eq!(second.fail("job-00000001"), "+OK");
-    assert_eq!((first.say("FETCH default"), second.say("FETCH default")), ("nil".into(), "nil".into()));
+    assert_eq!((first.call("FETCH default"), second.call("FETCH default")), ("nil".into(), "nil".into()));
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "served=0", "sent=1", "late_reports=2"]);
 }
 
 #[test]
 fn a_second_ack_and_a_late_fail_are_answered_and_counted_apart() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000001");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
     let replies = [consumer.ack("job-00000001"), consumer.ack("job-00000001"), consumer.fail("job-00000001")];
     assert_eq!(replies, ["+OK", "+OK", "+OK"]);
     daemon.wait_counters("faktory", &["taken=1", "served=1", "failed=0", "late_reports=2"]);
@@ -181,7 +181,7 @@
 /// Rule 3: a consumer that drains gets nothing new, not even what was offered to it before.
 #[test]
 fn a_draining_consumer_gets_nothing_new() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let to = daemon.address("faktory");
     let mut quiet = waiting(&daemon, "c-1");
     // A second connection of the consumer says so while the first still waits.
@@ -192,23 +192,23 @@
     for at in 0..5 {
         let jid = format!("job-{at:08}");
         assert_eq!(producer.push(&job(&jid, "qso-confirm")), "+OK");
-        assert_eq!(other.fetched()["jid"], jid);
+        assert_eq!(other.fetch_pending()["jid"], jid);
         assert_eq!(other.ack(&jid), "+OK");
-        other.tell("FETCH default");
-        assert_eq!(quiet.say("FETCH default"), "nil");
+        other.send("FETCH default");
+        assert_eq!(quiet.call("FETCH default"), "nil");
     }
     daemon.wait_counters("faktory", &["taken=5", "served=5", "sent=5"]);
 }
 
 #[test]
 fn a_job_not_done_by_its_deadline_fails_once() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let mut job = job("job-00000001", "qso-confirm");
     job["custom"] = serde_json::json!({"time_left_ms": 400});
     assert_eq!(producer.push(&job), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000001");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
     daemon.wait_counters("faktory", &["taken=1", "failed=1"]);
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "served=0", "late_reports=1"]);
@@ -216,23 +216,23 @@
 
 #[test]
 fn a_reservation_that_runs_out_may_have_run() {
-    let daemon = daemon(ON);
+    let daemon = start_daemon(FRONT_ENABLED);
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let mut job = job("job-00000001", "qso-confirm");
     job["reserve_for"] = 0.into();
     assert_eq!(producer.push(&job), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000001");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "sent=1"]);
 }
 
 #[test]
 fn told_to_end_it_hands_out_what_it_took_and_takes_nothing_new() {
-    let mut daemon = daemon(ON);
+    let mut daemon = start_daemon(FRONT_ENABLED);
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000001");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
     daemon.signal("TERM");
     wait_for("a refusal", || {
         producer.push(&job("job-00000002", "no-such")).contains("shutting down").then_some(())
@@ -245,11 +245,11 @@
 /// Who waits for a job when the last one is reported hears that there is none, and no reset.
 #[test]
 fn told_to_end_it_answers_every_command_that_it_has_read() {
-    let mut daemon = daemon(ON);
+    let mut daemon = start_daemon(FRONT_ENABLED);
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000001");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
     let mut others: Vec<Peer> = (2..12).map(|n| waiting(&daemon, &format!("c-{n}"))).collect();
     daemon.signal("TERM");
     wait_for("a refusal", || {
@@ -266,36 +266,36 @@
 /// Connections that never say HELLO once held every place for as long as they liked to come back.
 #[test]
 fn silent_crowds_make_way_for_producers_and_consumers() {
-    let daemon = daemon("faktory {\n listen 127.0.0.1:0\n connections 4\n}\n");
+    let daemon = start_daemon("faktory {\n listen 127.0.0.1:0\n connections 4\n}\n");
     let at = daemon.address("faktory");
     let mut consumer = Peer::consumer(at, "w-1");
-    let silent: Vec<Peer> = (0..20).map(|_| Peer::silent(at)).collect();
+    let silent: Vec<Peer> = (0..20).map(|_| Peer::connect(at)).collect();
     let mut producers: Vec<Peer> = (0..6).map(|_| Peer::producer(at)).collect();
-    assert!(producers.last_mut().expect("one").say("INFO").contains("faktory_version"));
-    assert!(consumer.say("BEAT {\"wid\":\"w-1\"}").starts_with("+OK"), "nobody makes a consumer leave");
+    assert!(producers.last_mut().expect("one").call("INFO").contains("faktory_version"));
+    assert!(consumer.call("BEAT {\"wid\":\"w-1\"}").starts_with("+OK"), "nobody makes a consumer leave");
     drop(silent);
 }
 
 /// Operators' bans hold on every front: what was only offered goes to another, what is held may be reported.
 #[test]
 fn a_consumer_out_by_hand_is_handed_nothing_until_it_is_put_back() {
-    let mut settings = config("127.0.0.1:9".parse().expect("an address"));
+    let mut settings = platform_config("127.0.0.1:9".parse().expect("an address"));
     settings["console"] = "127.0.0.1:0".into();
-    let (mut command, folder) = Daemon::command(&settings, Some(ON));
+    let (mut command, folder) = Daemon::command(&settings, Some(FRONT_ENABLED));
     command.env("TMPDIR", folder.path());
     let daemon = Daemon::spawn((command, folder));
     let mut consumer = waiting(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000001");
-    let call = |to: &str| daemon.operator("PUT", &format!("log-workers/c-1/{to}")).status;
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
+    let call = |to: &str| daemon.console_call("PUT", &format!("log-workers/c-1/{to}")).status;
     assert_eq!(call("offline"), 200);
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     assert!(producer.push(&job("job-00000002", "qso-confirm")).starts_with("-ERR unavailable"));
-    assert_eq!(consumer.say("FETCH default"), "nil");
+    assert_eq!(consumer.call("FETCH default"), "nil");
     assert_eq!(call("online"), 200);
-    consumer.tell("FETCH default");
+    consumer.send("FETCH default");
     assert_eq!(producer.push(&job("job-00000003", "qso-confirm")), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000003");
-    assert_eq!((daemon.figure("passed.qso-confirm"), daemon.figure("upstream_tries")), (1, 2));
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000003");
+    assert_eq!((daemon.metric("passed.qso-confirm"), daemon.metric("upstream_tries")), (1, 2));
 }
--- a/crates/rookspoke/tests/guard.rs
+++ b/crates/rookspoke/tests/guard.rs
@@ -11,7 +11,7 @@
 
 /// A daemon with so few descriptors that it has places for 32 clients.
 fn small(discovery: &Discovery) -> Daemon {
-    let mut config = config(discovery.address);
+    let mut config = platform_config(discovery.address);
     config["limits"]["sockets"] = json!(64);
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
@@ -43,9 +43,9 @@
 #[test]
 fn silent_crowds_make_way_and_nobody_who_is_owed_an_answer_does() {
     let (worker, go) = slow();
-    let daemon = small(&Discovery::of(&[&worker]));
+    let daemon = small(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let mut owed = BufReader::new(send(http, &post("qso-confirm", "0000000000000001", 20_000, "")));
+    let mut owed = BufReader::new(send(http, &job_request("qso-confirm", "0000000000000001", 20_000, "")));
     wait_for("the job", || (worker.count() == 1).then_some(()));
     let silent: Vec<TcpStream> = (0..100).map(|_| send(http, b"")).collect();
     assert_eq!(get(http, "/health/ready").status, 200);
@@ -55,7 +55,7 @@
     assert!(idle.iter_mut().all(|client| read_message(client).is_some_and(|answer| answer.status == 200)));
     go.send(()).expect("the log worker waits");
     assert_eq!(read_message(&mut owed).expect("an answer").status, 200);
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000002", 5000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("log-lookup", "0000000000000002", 5000, "")).status, 200);
     drop(silent);
 }
 
@@ -63,16 +63,16 @@
 #[test]
 fn whoever_never_ends_a_first_request_is_closed() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let mut kept = BufReader::new(send(http, &post("log-lookup", "0000000000000001", 5000, "")));
+    let mut kept = BufReader::new(send(http, &job_request("log-lookup", "0000000000000001", 5000, "")));
     assert_eq!(read_message(&mut kept).expect("an answer").status, 200);
-    let whole = String::from_utf8(post("log-lookup", "0000000000000002", 5000, "body")).expect("text");
+    let whole = String::from_utf8(job_request("log-lookup", "0000000000000002", 5000, "body")).expect("text");
     for part in ["", &whole[..20], &whole[..whole.len() - 2]] {
         assert!(is_closed(&mut send(http, part.as_bytes())), "{part:?}");
     }
     // One that asked before may think about its next request for longer.
-    kept.get_mut().write_all(&post("log-lookup", "0000000000000003", 5000, "")).expect("sent");
+    kept.get_mut().write_all(&job_request("log-lookup", "0000000000000003", 5000, "")).expect("sent");
     assert_eq!(read_message(&mut kept).expect("an answer").status, 200);
     daemon.wait_counters("http", &["taken=2", "closed=3"]);
 }
@@ -81,7 +81,7 @@
 #[test]
 fn a_request_with_two_lengths_is_an_error_and_a_close() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let head = "POST /log-lookup/a HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: 0000000000000001\r\n\
                 X-Service-Class: log-lookup\r\nX-Time-Left-Ms: 5000\r\n";
@@ -107,20 +107,20 @@
     assert_eq!(statuses[8..], [Some(413), bad, bad, Some(431), bad]);
     daemon.wait_counters("http", &["taken=0", "malformed=13"]);
     let chunks = format!("{head}{chunked}\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n");
-    assert_eq!(ask(http, chunks.as_bytes()).status, 200, "chunks alone are as good as a length");
-    assert_eq!(worker.seen.lock().expect("requests")[0].text(), "hello");
+    assert_eq!(exchange(http, chunks.as_bytes()).status, 200, "chunks alone are as good as a length");
+    assert_eq!(worker.requests.lock().expect("requests")[0].text(), "hello");
 }
 
 /// Log workers cannot tell two requests of one id apart: the second once made them turn on both.
 #[test]
 fn a_request_is_judged_by_its_head_before_it_is_taken() {
     let (worker, go) = slow();
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let mut first = BufReader::new(send(http, &post("qso-confirm", "0000000000000001", 20_000, "")));
+    let mut first = BufReader::new(send(http, &job_request("qso-confirm", "0000000000000001", 20_000, "")));
     wait_for("the job", || (worker.count() == 1).then_some(()));
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000001", 5000, "")).status, 409);
-    let good = String::from_utf8(post("log-lookup", "0000000000000002", 5000, "")).expect("text");
+    assert_eq!(exchange(http, &job_request("log-lookup", "0000000000000001", 5000, "")).status, 409);
+    let good = String::from_utf8(job_request("log-lookup", "0000000000000002", 5000, "")).expect("text");
     let with = |header: &str| good.replace("Host:", &format!("{header}\r\nHost:"));
     let cases = [
         good.replace("Class: log-lookup", "Class: qso-confirm"),
@@ -138,12 +138,16 @@
         with("X-Facts: slots=many"),
     ];
     for text in &cases {
-        assert_eq!(ask(http, text.as_bytes()).status, 400, "{text}");
+        assert_eq!(exchange(http, text.as_bytes()).status, 400, "{text}");
     }
     go.send(()).expect("the log worker waits");
     assert_eq!(read_message(&mut first).expect("an answer").status, 200);
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000001", 5000, "")).status, 200, "it is free again");
-    assert_eq!(ask(http, with("X-Facts: slots=2,other=x").as_bytes()).status, 200);
+    assert_eq!(
+        exchange(http, &job_request("log-lookup", "0000000000000001", 5000, "")).status,
+        200,
+        "it is free again"
+    );
+    assert_eq!(exchange(http, with("X-Facts: slots=2,other=x").as_bytes()).status, 200);
     daemon.wait_counters("http", &["taken=3", "malformed=14", "served=3"]);
 }
 
@@ -153,8 +157,11 @@
     let unusable: &Behaviour =
         &|_, to| to.write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").is_ok();
     let (one, two) = (Worker::start("w-1", unusable), Worker::start("w-2", unusable));
-    let daemon = Daemon::over(&Discovery::of(&[&one, &two]));
-    assert_eq!(ask(daemon.address("http"), &post("log-lookup", "0000000000000001", 5000, "")).status, 500);
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&one, &two]));
+    assert_eq!(
+        exchange(daemon.address("http"), &job_request("log-lookup", "0000000000000001", 5000, "")).status,
+        500
+    );
     assert_eq!(one.count() + two.count(), 1);
     daemon.wait_counters("http", &["taken=1", "failed=1", "unusable=1", "attempts_failed=1"]);
 }
@@ -164,7 +171,7 @@
 #[test]
 fn nobody_makes_room_whose_request_is_there_unread() {
     let worker = Worker::serving("w-1");
-    let daemon = small(&Discovery::of(&[&worker]));
+    let daemon = small(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let ready = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     let mut rest: Vec<_> = (0..32).map(|_| BufReader::new(send(http, ready))).collect();
@@ -172,7 +179,7 @@
     daemon.signal("STOP");
     let crowd: Vec<TcpStream> = (0..64).map(|_| send(http, b"")).collect();
     for (id, client) in rest.iter_mut().enumerate() {
-        let job = post("log-lookup", &format!("{:016x}", id + 1), 9_000, "");
+        let job = job_request("log-lookup", &format!("{:016x}", id + 1), 9_000, "");
         client.get_mut().write_all(&job).expect("sent");
     }
     daemon.signal("CONT");
--- a/crates/rookspoke/tests/known_red.rs
+++ b/crates/rookspoke/tests/known_red.rs
@@ -5,12 +5,12 @@
 
 use std::process::Command;
 
-use common::world::Folder;
+use common::world::TempDir;
 
 /// Runs the script with this list of known failures over a command that prints `command_output` and exits with
 /// `exit_status`. Returns whether the script succeeded, and what it printed on both of its streams.
 fn run_known_red(list: &str, command_output: &str, exit_status: i32) -> (bool, String) {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (list_path, output_path) = (folder.path().join("KNOWN-RED.txt"), folder.path().join("output"));
     std::fs::write(&list_path, list).expect("the list is written");
     std::fs::write(&output_path, command_output).expect("the output is written");
--- a/crates/rookspoke/tests/large_lists.rs
+++ b/crates/rookspoke/tests/large_lists.rs
@@ -21,7 +21,7 @@
     let nowhere: SocketAddr = ([127, 0, 0, 1], 9).into();
     let name = |n: usize| format!("s-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1));
     let entry = |n: usize| {
-        let mut entry = entry(&name(n), nowhere, "leaving");
+        let mut entry = list_entry(&name(n), nowhere, "leaving");
         entry["boot_ms"] = 1_796_162_400_000_u64.into();
         entry
     };
@@ -42,7 +42,7 @@
         if Instant::now() >= until {
             return;
         }
-        let answer = ask(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+        let answer = exchange(http, &job_request("log-lookup", &format!("{id:016x}"), 9_000, ""));
         assert_eq!(answer.status, 200, "job {id}");
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -51,17 +51,17 @@
 /// A log worker is told to drain in a change of so many entries; nothing new goes there once the grace is over.
 fn drains_in_a_change_of(entries: usize) {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&one, &two]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     serves_until(http, Instant::now() + Duration::from_millis(500));
     let mut changed = draining(entries - 1);
     changed.push(one.entry("leaving"));
     let mut list = changed.clone();
     list.push(two.entry("active"));
-    discovery.set(list);
+    discovery.set_list(list);
     let told = Instant::now();
-    discovery.say(&change(&changed).to_string());
+    discovery.send_line(&change(&changed).to_string());
     serves_until(http, told + DRAIN_GRACE);
     let before = one.count();
     serves_until(http, told + DRAIN_GRACE + WATCHED);
@@ -90,15 +90,15 @@
 /// A process that knows no list starts with one in this form.
 fn starts_with(form: &str, list: &str, worker: &Worker) {
     let discovery = Discovery::start(Vec::new());
-    discovery.set_text(list);
-    let daemon = Daemon::start(&config(discovery.address), None);
+    discovery.set_list_text(list);
+    let daemon = Daemon::start(&platform_config(discovery.address), None);
     let started = Instant::now();
     let http = daemon.address("http");
     while get(http, "/health/ready").status != 200 {
         assert!(started.elapsed() < Duration::from_secs(10), "not ready with a list that is {form}");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let answer = ask(http, &post("log-lookup", "0000000000000001", 9_000, ""));
+    let answer = exchange(http, &job_request("log-lookup", "0000000000000001", 9_000, ""));
     assert_eq!((answer.status, worker.count()), (200, 1), "a list that is {form}");
     assert!(daemon.counters("http").contains(" lists_failed=0 "), "a list that is {form}");
 }
@@ -136,15 +136,15 @@
 #[test]
 fn one_unreadable_entry_leaves_the_rest_of_a_change_in_force() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&one, &two]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
-    let mut unreadable = entry("w-3", one.address, "leaving");
+    let mut unreadable = list_entry("w-3", one.address, "leaving");
     unreadable["endpoint"] = "nowhere".into();
     let changed = [unreadable, one.entry("leaving")];
-    discovery.set([&changed[..], &[two.entry("active")]].concat());
+    discovery.set_list([&changed[..], &[two.entry("active")]].concat());
     let told = Instant::now();
-    discovery.say(&change(&changed).to_string());
+    discovery.send_line(&change(&changed).to_string());
     serves_until(http, told + DRAIN_GRACE);
     let before = one.count();
     serves_until(http, told + DRAIN_GRACE + WATCHED);
@@ -156,16 +156,16 @@
 #[test]
 fn no_job_goes_to_a_log_worker_whose_entry_became_unreadable() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&one, &two]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     let told = Instant::now();
-    discovery.say(&change(&[one.entry("resting")]).to_string());
+    discovery.send_line(&change(&[one.entry("resting")]).to_string());
     serves_until(http, told + DRAIN_GRACE);
     let before = one.count();
     serves_until(http, told + DRAIN_GRACE + Duration::from_millis(500));
     assert_eq!(one.count(), before, "jobs sent to it");
-    discovery.say(&change(&[one.entry("active"), two.entry("leaving")]).to_string());
+    discovery.send_line(&change(&[one.entry("active"), two.entry("leaving")]).to_string());
     wait_for("jobs at it again", || {
         serves_until(http, Instant::now() + Duration::from_millis(50));
         (one.count() > before).then_some(())
@@ -175,25 +175,25 @@
 #[test]
 fn one_unreadable_entry_of_the_list_last_known_keeps_no_process_from_starting() {
     let worker = Worker::serving("w-1");
-    let mut config = config(([127, 0, 0, 1], 9).into());
+    let mut config = platform_config(([127, 0, 0, 1], 9).into());
     config["known"] = whole(&[worker.entry("active"), json!({"uid": "w-2"})]);
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
-    assert_eq!(ask(daemon.address("http"), &post("log-lookup", "01", 5_000, "")).status, 200);
+    assert_eq!(exchange(daemon.address("http"), &job_request("log-lookup", "01", 5_000, "")).status, 200);
 }
 
 /// A change that nobody can read was told, and then the whole list, to whoever asks for it.
 #[test]
 fn a_change_that_cannot_be_read_is_not_taken_for_no_change() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&one, &two]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     // What follows the version held is unreadable each time; the whole list is not.
-    discovery.set_changes(Some("{\"rev\":2,\"all\":false,\"targets\":[{]}"));
-    discovery.set(vec![one.entry("leaving"), two.entry("active")]);
+    discovery.set_resume_reply(Some("{\"rev\":2,\"all\":false,\"targets\":[{]}"));
+    discovery.set_list(vec![one.entry("leaving"), two.entry("active")]);
     let told = Instant::now();
-    discovery.say("{\"rev\":2,\"all\":false,\"targets\":[{]}");
+    discovery.send_line("{\"rev\":2,\"all\":false,\"targets\":[{]}");
     serves_until(http, told + DRAIN_GRACE);
     let before = one.count();
     serves_until(http, told + DRAIN_GRACE + WATCHED);
@@ -205,20 +205,20 @@
 #[test]
 fn no_job_goes_by_a_list_whose_changes_cannot_be_read() {
     let one = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&one]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&one]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
-    discovery.set_changes(Some("nonsense"));
-    discovery.set_text("nonsense");
+    discovery.set_resume_reply(Some("nonsense"));
+    discovery.set_list_text("nonsense");
     let told = Instant::now();
-    discovery.say("nonsense");
+    discovery.send_line("nonsense");
     std::thread::sleep((told + DRAIN_GRACE).saturating_duration_since(Instant::now()));
     let before = one.count();
-    let late = send(http, &post("log-lookup", "0000000000000701", 9_000, ""));
+    let late = send(http, &job_request("log-lookup", "0000000000000701", 9_000, ""));
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(one.count(), before, "a job was sent by the old list");
-    discovery.set_changes(None);
-    discovery.set(vec![one.entry("active")]);
+    discovery.set_resume_reply(None);
+    discovery.set_list(vec![one.entry("active")]);
     let answer = read_message(&mut BufReader::new(late)).expect("an answer");
     assert_eq!(answer.status, 200, "once a list can be read again");
 }
@@ -259,7 +259,8 @@
     entries.push(worker.entry("active"));
     let list = whole(&entries).to_string() + "\n";
     let piece = list.len() / 40;
-    let daemon = Daemon::start(&config(writes_in_pieces(list, piece, Duration::from_millis(100))), None);
+    let daemon =
+        Daemon::start(&platform_config(writes_in_pieces(list, piece, Duration::from_millis(100))), None);
     let started = Instant::now();
     let http = daemon.address("http");
     while get(http, "/health/ready").status != 200 {
@@ -267,7 +268,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(started.elapsed() > Duration::from_secs(3), "it was written slowly");
-    assert_eq!(ask(http, &post("log-lookup", "01", 5_000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("log-lookup", "01", 5_000, "")).status, 200);
     daemon.wait_counters("http", &["lists=1", "lists_failed=0"]);
 }
 
@@ -275,7 +276,8 @@
 #[test]
 fn a_watch_that_writes_nothing_but_spaces_is_a_silent_one() {
     let text = whole(&draining(1)).to_string() + "\n" + &" ".repeat(1_000_000);
-    let daemon = Daemon::start(&config(writes_in_pieces(text, 1_000, Duration::from_millis(20))), None);
+    let daemon =
+        Daemon::start(&platform_config(writes_in_pieces(text, 1_000, Duration::from_millis(20))), None);
     daemon.wait_log("list update applied");
     let listed = Instant::now();
     daemon.wait_log("the watch was silent");
@@ -286,16 +288,17 @@
 #[test]
 fn kept_connections_leave_room_for_one_to_another_log_worker() {
     let workers: Vec<Worker> = (0..60).map(|n| Worker::serving(&format!("w-{n}"))).collect();
-    let discovery = Discovery::of(&workers.iter().collect::<Vec<_>>());
-    let mut config = config(discovery.address);
+    let discovery = Discovery::listing(&workers.iter().collect::<Vec<_>>());
+    let mut config = platform_config(discovery.address);
     config["limits"]["sockets"] = 64.into();
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let http = daemon.address("http");
     for job in 0..400 {
-        let request = String::from_utf8(post("log-lookup", &format!("{job:016x}"), 9_000, "")).expect("text");
+        let request =
+            String::from_utf8(job_request("log-lookup", &format!("{job:016x}"), 9_000, "")).expect("text");
         let request = request.replace("station-1", &format!("station-{job}"));
-        assert_eq!(ask(http, request.as_bytes()).status, 200, "job {job}");
+        assert_eq!(exchange(http, request.as_bytes()).status, 200, "job {job}");
     }
     let used = workers.iter().filter(|worker| worker.count() > 0).count();
     assert!(used > 40, "{used} log workers were used");
@@ -315,9 +318,9 @@
     const LEAST_MB: u64 = 32;
     let worker = Worker::serving("w-1");
     for junk in ["7,".repeat(4_000_000), " ".repeat(12_000_000)] {
-        let discovery = Discovery::of(&[&worker]);
-        let daemon = Daemon::over(&discovery);
-        discovery.say(&format!("{{\"rev\":2,\"all\":false,\"targets\":[{junk}7]}}"));
+        let discovery = Discovery::listing(&[&worker]);
+        let daemon = Daemon::start_ready(&discovery);
+        discovery.send_line(&format!("{{\"rev\":2,\"all\":false,\"targets\":[{junk}7]}}"));
         wait_for("it to be turned down", || {
             daemon.counters("http").contains(" lists_unusable=1 ").then_some(())
         });
--- a/crates/rookspoke/tests/leaving.rs
+++ b/crates/rookspoke/tests/leaving.rs
@@ -34,7 +34,7 @@
 impl Leaves {
     /// The further bytes come well before the end: what has read them stands there when that comes.
     fn sends(self, client: &mut TcpStream, id: &str) {
-        let further = post("log-lookup", &format!("f{}", &id[1..]), 9_000, "four");
+        let further = job_request("log-lookup", &format!("f{}", &id[1..]), 9_000, "four");
         let bytes = match self {
             Leaves::Fin | Leaves::Rst => Vec::new(),
             Leaves::Pipelined => further,
@@ -56,7 +56,7 @@
 fn clients(daemon: &Daemon, class: &str, count: usize) -> Vec<(Leaves, TcpStream)> {
     let one = |number: usize| {
         let (how, id) = (ALL[number % ALL.len()], format!("{:016x}", 0xa000 + number));
-        let mut client = send(daemon.address("http"), &post(class, &id, 20_000, ""));
+        let mut client = send(daemon.address("http"), &job_request(class, &id, 20_000, ""));
         how.sends(&mut client, &id);
         (how, client)
     };
@@ -68,13 +68,13 @@
 fn nobody_of_a_crowd_that_left_while_it_waited_is_sent() {
     let worker = Worker::serving("w-1");
     let discovery = Discovery::start(Vec::new());
-    let daemon = Daemon::over(&discovery);
+    let daemon = Daemon::start_ready(&discovery);
     let crowd = clients(&daemon, "log-lookup", 300);
-    let stays = send(daemon.address("http"), &post("log-lookup", "0000000000000001", 9_000, ""));
+    let stays = send(daemon.address("http"), &job_request("log-lookup", "0000000000000001", 9_000, ""));
     wait_for("all of them", || daemon.counters("http").contains(" taken=301 ").then_some(()));
     crowd.into_iter().for_each(|(how, client)| how.goes(client));
     std::thread::sleep(GONE);
-    discovery.change(worker.entry("active"));
+    discovery.send_change(worker.entry("active"));
     let answer = read_message(&mut std::io::BufReader::new(stays)).expect("an answer");
     assert_eq!(answer.status, 200);
     std::thread::sleep(Duration::from_millis(300));
@@ -92,20 +92,20 @@
         while !away.load(Ordering::SeqCst) {
             std::thread::sleep(holds);
         }
-        objects(to, &[state(request, "returned")], true);
+        send_objects(to, &[state_report(request, "returned")], true);
         false
     });
     let second = Worker::serving("w-2");
     let discovery = Discovery::start(vec![first.entry("active")]);
     // Calling off is not allowed: the attempt goes on to its end.
-    let mut config = config(discovery.address);
+    let mut config = platform_config(discovery.address);
     config["settings"]["limits"]["cancel"] = false.into();
     config["settings"]["specifics"]["report_x0"] = json!("free_slots");
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let crowd = clients(&daemon, "log-lookup", 5);
     wait_for("the attempts", || (first.count() == 5).then_some(()));
-    discovery.change(second.entry("active"));
+    discovery.send_change(second.entry("active"));
     daemon.wait_counters("http", &["lists=2"]);
     crowd.into_iter().for_each(|(how, client)| how.goes(client));
     std::thread::sleep(GONE);
@@ -119,7 +119,7 @@
 #[test]
 fn nothing_is_written_to_a_connection_that_comes_up_after_the_client_left() {
     for cancel in [true, false] {
-        let worker = Late::start("w-1");
+        let worker = LateWorker::start("w-1");
         let daemon = Daemon::start(&worker.config(cancel), None);
         daemon.wait_ready();
         for class in ["log-lookup", "qso-confirm"] {
@@ -130,7 +130,7 @@
         }
         daemon.wait_counters("http", &["taken=10", "client_gone=10", "sent=10"]);
         std::thread::sleep(GONE);
-        worker.opens();
+        worker.open();
         // Nothing that may have run is forgotten: each attempt ends, as called off or as never sent.
         let ends = if cancel { ["cancelled=10", "written=0"] } else { ["not_sent=10", "written=0"] };
         daemon.wait_counters("http", &ends);
@@ -142,16 +142,16 @@
 #[test]
 fn a_confirmation_stays_accounted_for_when_its_client_leaves() {
     let worker = Worker::start("w-1", |request, to| {
-        let waits = request.first.contains("qso-confirm");
-        objects(to, &[state(request, if waits { "started" } else { "done" })], !waits);
+        let waits = request.start_line.contains("qso-confirm");
+        send_objects(to, &[state_report(request, if waits { "started" } else { "done" })], !waits);
         !waits || !is_closed(to)
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let crowd = clients(&daemon, "qso-confirm", 5);
     wait_for("the attempts", || (worker.count() == 5).then_some(()));
     crowd.into_iter().for_each(|(how, client)| how.goes(client));
     let ends = ["taken=5", "client_gone=5", "cancelled=5", "written=5", "sent=5", "served=0", "failed=0"];
     daemon.wait_counters("http", &ends);
-    let next = ask(daemon.address("http"), &post("log-lookup", "0000000000000001", 5_000, ""));
+    let next = exchange(daemon.address("http"), &job_request("log-lookup", "0000000000000001", 5_000, ""));
     assert_eq!((next.status, worker.count()), (200, 6));
 }
--- a/crates/rookspoke/tests/list.rs
+++ b/crates/rookspoke/tests/list.rs
@@ -94,14 +94,14 @@
     let case = format!("{fails:?}, {}, {ask_every_ms}", if pushed { "pushed" } else { "asked" });
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(listener.local_addr().expect("an address"));
+    let mut config = platform_config(listener.local_addr().expect("an address"));
     config["settings"]["rules"]["ask_every_ms"] = ask_every_ms.into();
     config["settings"]["discovery"] = if pushed { "automatic" } else { "subscribe" }.into();
     let daemon = Daemon::start(&config, None);
     let watch = tells(&listener, &json!({"rev": 1, "all": true, "targets": [one.entry("active")]}));
     daemon.wait_ready();
     let http = daemon.address("http");
-    let job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+    let job = |id: u32| send(http, &job_request("log-lookup", &format!("{id:016x}"), 9_000, ""));
     let status = |client: TcpStream| read_message(&mut BufReader::new(client)).map(|answer| answer.status);
     assert_eq!(status(job(1)), Some(200), "{case}");
     drop(watch);
@@ -143,18 +143,18 @@
 /// meanwhile. When it wakes, the send comes before any timer that would tell that the list is too old.
 #[test]
 fn a_send_that_wakes_after_a_long_stop_asks_how_old_the_list_is() {
-    let one = Late::start("w-1");
+    let one = LateWorker::start("w-1");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(listener.local_addr().expect("an address"));
+    let mut config = platform_config(listener.local_addr().expect("an address"));
     config["settings"]["limits"]["connect_timeout_ms"] = 20_000.0.into();
     let daemon = Daemon::start(&config, None);
     let _silent = tells(&listener, &json!({"rev": 1, "all": true, "targets": [one.entry("active")]}));
     let word = Instant::now();
     daemon.wait_ready();
-    let client = send(daemon.address("http"), &post("log-lookup", "0000000000000401", 20_000, ""));
+    let client = send(daemon.address("http"), &job_request("log-lookup", "0000000000000401", 20_000, ""));
     wait_for("the attempt", || daemon.counters("http").contains(" sent=1 ").then_some(()));
     daemon.signal("STOP");
-    one.opens();
+    one.open();
     std::thread::sleep(Duration::from_millis(7_500).saturating_sub(word.elapsed()));
     daemon.signal("CONT");
     std::thread::sleep(Duration::from_millis(1_500));
@@ -171,13 +171,13 @@
         let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
         let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
         let [old, new] = listeners;
-        let mut config = config(old.local_addr().expect("an address"));
+        let mut config = platform_config(old.local_addr().expect("an address"));
         config["settings"]["rules"]["ask_every_ms"] = 200_000.0.into();
         let daemon = Daemon::start(&config, None);
         let watch = tells(&old, &json!({"rev": 9, "all": true, "targets": [one.entry("active")]}));
         daemon.wait_ready();
         let http = daemon.address("http");
-        let job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+        let job = |id: u32| send(http, &job_request("log-lookup", &format!("{id:016x}"), 9_000, ""));
         let status =
             |client: TcpStream| read_message(&mut BufReader::new(client)).map(|answer| answer.status);
         let mut watch = Some(watch);
@@ -186,7 +186,7 @@
             std::thread::sleep(Duration::from_millis(3_000));
         }
         config["discovery"] = new.local_addr().expect("an address").to_string().into();
-        daemon.replace(&config.to_string());
+        daemon.replace_platform_config(&config.to_string());
         daemon.signal("HUP");
         let moved = Instant::now();
         // Of six seconds three are left, of four all.
--- a/crates/rookspoke/tests/operators.rs
+++ b/crates/rookspoke/tests/operators.rs
@@ -15,9 +15,9 @@
 /// What an answer must not take, whatever goes on.
 const DUE: Duration = Duration::from_secs(1);
 
-fn place(workers: &[&Worker]) -> (Place, Discovery) {
-    let discovery = Discovery::of(workers);
-    (Place::new(config(discovery.address)), discovery)
+fn place(workers: &[&Worker]) -> (DispatcherHost, Discovery) {
+    let discovery = Discovery::listing(workers);
+    (DispatcherHost::new(platform_config(discovery.address)), discovery)
 }
 
 /// A log worker that serves each job when told to, and all once nobody can tell it any more.
@@ -33,16 +33,16 @@
 }
 
 fn job(class: &str, number: u32) -> Vec<u8> {
-    post(class, &format!("{number:016x}"), 5000, "")
+    job_request(class, &format!("{number:016x}"), 5000, "")
 }
 
 #[test]
 fn calls_that_make_no_sense_are_answered_no() {
     let worker = Worker::serving("w-1");
     let (place, _discovery) = place(&[&worker]);
-    let daemon = place.ready();
-    let status = |method: &str, path: &str| daemon.operator(method, path).status;
-    let text = |text: &str| ask(daemon.address("console"), text.as_bytes()).status;
+    let daemon = place.start_ready();
+    let status = |method: &str, path: &str| daemon.console_call(method, path).status;
+    let text = |text: &str| exchange(daemon.address("console"), text.as_bytes()).status;
     let long = "x".repeat(20_000);
     let got = [
         status("GET", "ready"),
@@ -72,20 +72,20 @@
         true
     });
     let (place, _discovery) = place(&[&worker]);
-    let daemon = place.ready();
-    let (console, clients) = (daemon.address("console"), place.clients());
+    let daemon = place.start_ready();
+    let (console, clients) = (daemon.address("console"), place.client_address());
     let half = "PUT /control/log-workers/w-1/offline HTTP/1.1\r\nContent-Length: 5\r\n\r\nab";
     let slow: Vec<TcpStream> =
         ["", "GET /control/re", half].iter().cycle().take(90).map(|t| send(console, t.as_bytes())).collect();
     let crowd: Vec<TcpStream> = (0..300).map(|n| send(clients, &job("log-lookup", n))).collect();
     for _ in 0..20 {
         let start = Instant::now();
-        assert_eq!(daemon.operator("GET", "ready").status, 200);
+        assert_eq!(daemon.console_call("GET", "ready").status, 200);
         assert!(start.elapsed() < DUE, "{:?}", start.elapsed());
     }
-    assert_eq!(daemon.figure("skipped_log_workers"), 0, "half a call does nothing");
+    assert_eq!(daemon.metric("skipped_log_workers"), 0, "half a call does nothing");
     // Behind such a crowd it may be refused, too: answered it is.
-    assert!([200, 503].contains(&ask(clients, &job("log-lookup", 999)).status));
+    assert!([200, 503].contains(&exchange(clients, &job("log-lookup", 999)).status));
     drop((slow, crowd));
 }
 
@@ -100,7 +100,7 @@
             let away = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
             match turn.fetch_add(1, Ordering::SeqCst) % 6 {
                 0 => return to.write_all(away.as_bytes()).is_ok(),
-                1 => objects(to, &[state(request, "failed")], true),
+                1 => send_objects(to, &[state_report(request, "failed")], true),
                 _ => serve(request, to, "fine"),
             }
             true
@@ -108,11 +108,11 @@
     };
     let workers = [worker("w-1"), worker("w-2"), worker("w-3")];
     let (place, _discovery) = place(&workers.iter().collect::<Vec<_>>());
-    let daemon = place.ready();
+    let daemon = place.start_ready();
     let mut statuses = Vec::new();
     for number in 0..40 {
         let class = if number % 2 == 0 { "log-lookup" } else { "qso-confirm" };
-        statuses.push((class, ask(place.clients(), &job(class, number)).status));
+        statuses.push((class, exchange(place.client_address(), &job(class, number)).status));
     }
     let counted = |class: &str, status: &[u16]| {
         statuses.iter().filter(|s| s.0 == class && status.contains(&s.1)).count() as u64
@@ -120,7 +120,7 @@
     let tries = workers.iter().map(Worker::count).sum::<usize>() as u64;
     for class in ["log-lookup", "qso-confirm"] {
         let figures =
-            ["passed", "dropped", "bad_gateway"].map(|name| daemon.figure(&format!("{name}.{class}")));
+            ["passed", "dropped", "bad_gateway"].map(|name| daemon.metric(&format!("{name}.{class}")));
         assert_eq!(
             figures,
             [counted(class, &[200]), counted(class, &[503]), counted(class, &[500])],
@@ -131,32 +131,34 @@
     assert!(counted("qso-confirm", &[500]) > 0 && tries > 40, "{tries} tries");
     wait_for("the figures", || {
         let names = ["upstream_tries", "in_progress", "known_log_workers"];
-        (names.map(|name| daemon.figure(name)) == [tries, 0, 3]).then_some(())
+        (names.map(|name| daemon.metric(name)) == [tries, 0, 3]).then_some(())
     });
     // A log worker that answers nothing yet: a job in progress, and one whose client leaves.
     let (slow, go) = held("w-4");
     let (place, _discovery) = self::place(&[&slow]);
-    let daemon = place.ready();
-    let (stays, leaves) =
-        (send(place.clients(), &job("log-lookup", 1)), send(place.clients(), &job("log-lookup", 2)));
-    wait_for("two in progress", || (daemon.figure("in_progress") == 2).then_some(()));
+    let daemon = place.start_ready();
+    let (stays, leaves) = (
+        send(place.client_address(), &job("log-lookup", 1)),
+        send(place.client_address(), &job("log-lookup", 2)),
+    );
+    wait_for("two in progress", || (daemon.metric("in_progress") == 2).then_some(()));
     drop(leaves);
-    wait_for("one in progress", || (daemon.figure("in_progress") == 1).then_some(()));
+    wait_for("one in progress", || (daemon.metric("in_progress") == 1).then_some(()));
     drop(go);
     assert_eq!(read_message(&mut BufReader::new(stays)).expect("an answer").status, 200);
-    let abandoned = daemon.figure("dropped.log-lookup") + daemon.figure("bad_gateway.log-lookup");
-    assert_eq!((daemon.figure("passed.log-lookup"), abandoned), (1, 0));
+    let abandoned = daemon.metric("dropped.log-lookup") + daemon.metric("bad_gateway.log-lookup");
+    assert_eq!((daemon.metric("passed.log-lookup"), abandoned), (1, 0));
 }
 
 /// Sends jobs of many keys and returns how many of them each log worker got.
-fn spread(place: &Place, workers: &[&Worker], jobs: u32) -> Vec<usize> {
+fn spread(place: &DispatcherHost, workers: &[&Worker], jobs: u32) -> Vec<usize> {
     static NEXT: AtomicU32 = AtomicU32::new(0x1000);
     let before: Vec<usize> = workers.iter().map(|w| w.count()).collect();
     for _ in 0..jobs {
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
         let text = String::from_utf8(job("log-lookup", number)).expect("text");
         let text = text.replace("station-1", &format!("station-{number}"));
-        ask(place.clients(), text.as_bytes());
+        exchange(place.client_address(), text.as_bytes());
     }
     workers.iter().zip(before).map(|(w, before)| w.count() - before).collect()
 }
@@ -167,15 +169,15 @@
 fn a_log_worker_out_by_hand_stays_out_until_it_is_called_back() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let (place, discovery) = place(&[&one, &two]);
-    let daemon = place.ready();
+    let daemon = place.start_ready();
     let all = [&one, &two];
     assert!(spread(&place, &all, 30).iter().all(|got| *got > 0));
     // Twice: one call back is enough for both.
     for _ in 0..2 {
-        assert_eq!(daemon.operator("PUT", "log-workers/w-1/offline").status, 200);
+        assert_eq!(daemon.console_call("PUT", "log-workers/w-1/offline").status, 200);
     }
     assert_eq!(spread(&place, &all, 20), [0, 20]);
-    wait_for("skipped", || (daemon.figure("skipped_log_workers") == 1).then_some(()));
+    wait_for("skipped", || (daemon.metric("skipped_log_workers") == 1).then_some(()));
     daemon.signal("HUP");
     daemon.wait_log("SIGHUP received: settings in effect now: ");
     assert_eq!(spread(&place, &all, 10), [0, 10]);
@@ -183,21 +185,21 @@
     let mut restarted = one.entry("active");
     restarted["boot_ms"] = json!(now.as_millis() as u64);
     for entry in [one.entry("left"), restarted.clone()] {
-        discovery.change(entry);
+        discovery.send_change(entry);
         thread::sleep(Duration::from_millis(50));
         assert_eq!(spread(&place, &all, 10), [0, 10]);
     }
-    discovery.set(vec![restarted, two.entry("active")]);
+    discovery.set_list(vec![restarted, two.entry("active")]);
     daemon.signal("KILL");
-    let daemon = place.ready();
+    let daemon = place.start_ready();
     assert_eq!(spread(&place, &all, 10), [0, 10]);
     // Nobody else is left: that is said at once.
-    assert_eq!(daemon.operator("PUT", "log-workers/w-2/offline").status, 200);
+    assert_eq!(daemon.console_call("PUT", "log-workers/w-2/offline").status, 200);
     let start = Instant::now();
-    assert_eq!(ask(place.clients(), &job("qso-confirm", 1)).status, 503);
+    assert_eq!(exchange(place.client_address(), &job("qso-confirm", 1)).status, 503);
     assert!(start.elapsed() < DUE);
-    assert_eq!(daemon.operator("PUT", "log-workers/w-2/online").status, 200);
-    assert_eq!(daemon.operator("PUT", "log-workers/w-1/online").status, 200);
+    assert_eq!(daemon.console_call("PUT", "log-workers/w-2/online").status, 200);
+    assert_eq!(daemon.console_call("PUT", "log-workers/w-1/online").status, 200);
     wait_for("w-1 is used again", || (spread(&place, &all, 5)[0] > 0).then_some(()));
 }
 
@@ -206,11 +208,11 @@
 fn a_log_worker_that_left_can_be_called_back() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let (place, discovery) = place(&[&one, &two]);
-    let daemon = place.ready();
-    let call = |to: &str| daemon.operator("PUT", &format!("log-workers/w-1/{to}")).status;
+    let daemon = place.start_ready();
+    let call = |to: &str| daemon.console_call("PUT", &format!("log-workers/w-1/{to}")).status;
     assert_eq!(call("offline"), 200);
-    discovery.change(one.entry("left"));
-    wait_for("it is gone", || (daemon.figure("known_log_workers") == 1).then_some(()));
+    discovery.send_change(one.entry("left"));
+    wait_for("it is gone", || (daemon.metric("known_log_workers") == 1).then_some(()));
     assert_eq!([call("offline"), call("online"), call("online")], [200, 200, 404]);
 }
 
@@ -223,40 +225,40 @@
     stuck.listen(0).expect("listens");
     let at = stuck.local_addr().expect("an address").as_socket().expect("an address");
     let filler = TcpStream::connect(at).expect("the only one that fits");
-    let discovery = Discovery::start(vec![entry("w-1", at, "active")]);
-    let mut settings = config(discovery.address);
+    let discovery = Discovery::start(vec![list_entry("w-1", at, "active")]);
+    let mut settings = platform_config(discovery.address);
     settings["settings"]["limits"]["connect_timeout_ms"] = json!(10_000.0);
-    let place = Place::new(settings);
-    let daemon = place.ready();
-    let waits = send(place.clients(), &post("qso-confirm", "00000000000000aa", 20_000, ""));
-    wait_for("the attempt", || (daemon.figure("in_progress") == 1).then_some(()));
-    assert_eq!(daemon.operator("PUT", "log-workers/w-1/offline").status, 200);
+    let place = DispatcherHost::new(settings);
+    let daemon = place.start_ready();
+    let waits = send(place.client_address(), &job_request("qso-confirm", "00000000000000aa", 20_000, ""));
+    wait_for("the attempt", || (daemon.metric("in_progress") == 1).then_some(()));
+    assert_eq!(daemon.console_call("PUT", "log-workers/w-1/offline").status, 200);
     // It comes up now.
     let listener: std::net::TcpListener = stuck.into();
     drop(listener.accept().expect("the filler"));
     drop(filler);
     let answer = read_message(&mut BufReader::new(waits)).expect("an answer");
-    assert_eq!((answer.status, daemon.figure("upstream_tries")), (503, 0));
+    assert_eq!((answer.status, daemon.metric("upstream_tries")), (503, 0));
 }
 
 /// The state folder cannot be written: the answer is no, and nothing has changed.
 #[test]
 fn a_ban_that_would_not_survive_is_refused() {
     let worker = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&worker]);
-    let mut settings = config(discovery.address);
+    let discovery = Discovery::listing(&[&worker]);
+    let mut settings = platform_config(discovery.address);
     settings["console"] = "127.0.0.1:0".into();
-    let daemon = Daemon::start_with(&settings, &[("TMPDIR", "/nonexistent".into())]);
+    let daemon = Daemon::start_with_env(&settings, &[("TMPDIR", "/nonexistent".into())]);
     daemon.wait_ready();
-    let answer = daemon.operator("PUT", "log-workers/w-1/offline");
+    let answer = daemon.console_call("PUT", "log-workers/w-1/offline");
     assert_eq!(answer.status, 503, "{}", answer.text());
-    assert_eq!(ask(daemon.address("http"), &job("log-lookup", 1)).status, 200);
+    assert_eq!(exchange(daemon.address("http"), &job("log-lookup", 1)).status, 200);
 }
 
 /// Keeps asking over kept connections, as the platform's clients do, and counts what ends without an answer.
-fn load(place: &Place, stop: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<(u32, u32)>> {
+fn load(place: &DispatcherHost, stop: &Arc<AtomicBool>) -> Vec<thread::JoinHandle<(u32, u32)>> {
     let client = |number: u32| {
-        let (to, stop) = (place.clients(), stop.clone());
+        let (to, stop) = (place.client_address(), stop.clone());
         thread::spawn(move || {
             let (mut done, mut lost, mut kept) = (0, 0, None::<BufReader<TcpStream>>);
             while !stop.load(Ordering::SeqCst) {
@@ -296,16 +298,16 @@
     let (one, two, three) = (worker("w-1"), worker("w-2"), worker("w-3"));
     let (place, _discovery) = place(&[&one, &two, &three]);
     let stop = Arc::new(AtomicBool::new(false));
-    let mut old = place.ready();
+    let mut old = place.start_ready();
     let clients = load(&place, &stop);
     for round in 0..4 {
         // Told the old one before the new one starts, or either while both live.
         let call =
-            |to: &Daemon, change: &str| to.operator("PUT", &format!("log-workers/w-1/{change}")).status;
+            |to: &Daemon, change: &str| to.console_call("PUT", &format!("log-workers/w-1/{change}")).status;
         if round == 0 {
             assert_eq!(call(&old, "offline"), 200);
         }
-        let new = place.ready();
+        let new = place.start_ready();
         match round {
             1 => assert_eq!(call(&old, "online"), 200),
             2 => assert_eq!(call(&new, "offline"), 200),
@@ -313,11 +315,11 @@
         }
         let out = u64::from(round != 1);
         for daemon in [&old, &new] {
-            wait_for("the same in both", || (daemon.figure("skipped_log_workers") == out).then_some(()));
+            wait_for("the same in both", || (daemon.metric("skipped_log_workers") == out).then_some(()));
         }
         old.signal("TERM");
         assert!(old.wait_exit().success());
-        assert_eq!(new.operator("GET", "ready").status, 200);
+        assert_eq!(new.console_call("GET", "ready").status, 200);
         old = new;
     }
     stop.store(true, Ordering::SeqCst);
@@ -330,25 +332,25 @@
 #[test]
 fn two_versions_keep_to_the_descriptors_of_one() {
     let worker = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&worker]);
-    let mut settings = config(discovery.address);
+    let discovery = Discovery::listing(&[&worker]);
+    let mut settings = platform_config(discovery.address);
     settings["limits"]["sockets"] = json!(160);
-    let place = Place::new(settings);
-    let old = place.ready();
-    let crowd = || (0..150).map(|_| send(place.clients(), b"")).collect::<Vec<_>>();
+    let place = DispatcherHost::new(settings);
+    let old = place.start_ready();
+    let crowd = || (0..150).map(|_| send(place.client_address(), b"")).collect::<Vec<_>>();
     let before = crowd();
-    wait_for("a full room", || (old.descriptors() > 80).then_some(()));
-    let new = place.ready();
+    wait_for("a full room", || (old.open_descriptors() > 80).then_some(()));
+    let new = place.start_ready();
     old.wait_log("another process of this dispatcher is running");
     let after = crowd();
     let most = (0..40).map(|_| {
         thread::sleep(Duration::from_millis(20));
-        old.descriptors() + new.descriptors()
+        old.open_descriptors() + new.open_descriptors()
     });
     // The moment before the old one has looked is not counted.
     let most = most.skip(10).max().expect("a count");
     assert!(most <= 160, "{most} descriptors");
-    assert_eq!(ask(place.clients(), &job("log-lookup", 1)).status, 200);
+    assert_eq!(exchange(place.client_address(), &job("log-lookup", 1)).status, 200);
     drop((before, after, old));
     new.wait_log("no other process of this dispatcher is running");
 }
@@ -358,13 +360,13 @@
 fn what_the_old_process_took_it_answers() {
     let (worker, go) = held("w-1");
     let (place, _discovery) = place(&[&worker]);
-    let mut old = place.ready();
-    let taken = send(place.clients(), &job("qso-confirm", 1));
-    let silent = send(place.clients(), b"");
+    let mut old = place.start_ready();
+    let taken = send(place.client_address(), &job("qso-confirm", 1));
+    let silent = send(place.client_address(), b"");
     wait_for("the job", || (worker.count() == 1).then_some(()));
-    let new = place.ready();
+    let new = place.start_ready();
     old.signal("TERM");
-    wait_for("it says so", || (old.operator("GET", "ready").status == 503).then_some(()));
+    wait_for("it says so", || (old.console_call("GET", "ready").status == 503).then_some(()));
     // A connection that the old one accepted, and that asks only now: it was once closed unheard.
     thread::sleep(Duration::from_millis(200));
     let mut silent = silent;
@@ -375,16 +377,16 @@
         assert_eq!(read_message(&mut BufReader::new(stream)).expect("an answer").status, 200);
     }
     assert!(old.wait_exit().success());
-    assert_eq!(new.operator("GET", "ready").status, 200);
+    assert_eq!(new.console_call("GET", "ready").status, 200);
 }
 
 fn fails_to_start(variables: &[(&str, &str)], change: impl Fn(&mut Value), expected: &str) {
     let discovery = Discovery::start(Vec::new());
-    let mut settings = config(discovery.address);
+    let mut settings = platform_config(discovery.address);
     change(&mut settings);
     let variables: Vec<(&str, String)> =
         variables.iter().map(|(name, value)| (*name, (*value).to_owned())).collect();
-    let mut daemon = Daemon::start_with(&settings, &variables);
+    let mut daemon = Daemon::start_with_env(&settings, &variables);
     assert!(!daemon.wait_exit().success());
     daemon.wait_log(expected);
 }
@@ -410,8 +412,8 @@
 fn the_program_is_one_dynamically_linked_process() {
     let worker = Worker::serving("w-1");
     let (place, _discovery) = place(&[&worker]);
-    let daemon = place.ready();
-    assert_eq!(ask(place.clients(), &job("log-lookup", 1)).status, 200);
+    let daemon = place.start_ready();
+    assert_eq!(exchange(place.client_address(), &job("log-lookup", 1)).status, 200);
     let of = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", daemon.pid())).expect(name);
     assert!(of("maps").contains("/libc.so"), "linked at its start against the C library");
     let tasks = std::fs::read_dir(format!("/proc/{}/task", daemon.pid())).expect("its threads");
@@ -430,13 +432,13 @@
 fn cost_of_console_calls() {
     let worker = Worker::serving("w-1");
     let (place, _discovery) = place(&[&worker]);
-    let daemon = place.ready();
-    let (console, clients) = (daemon.address("console"), place.clients());
+    let daemon = place.start_ready();
+    let (console, clients) = (daemon.address("console"), place.client_address());
     let round = |round: u32| {
         let mut times: Vec<u128> = (0..1000)
             .map(|n| {
                 let start = Instant::now();
-                assert_eq!(ask(clients, &job("log-lookup", round * 1000 + n + 1)).status, 200);
+                assert_eq!(exchange(clients, &job("log-lookup", round * 1000 + n + 1)).status, 200);
                 thread::sleep(Duration::from_millis(1));
                 start.elapsed().as_micros()
             })
--- a/crates/rookspoke/tests/platform.rs
+++ b/crates/rookspoke/tests/platform.rs
@@ -13,15 +13,18 @@
 #[test]
 fn a_job_passes_unchanged_and_its_result_comes_back() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
-    let answer = ask(daemon.address("http"), &post("qso-confirm", "00000000000000a1", 5000, "two stations"));
-    let seen = worker.seen.lock().expect("requests")[0].clone();
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
+    let answer = exchange(
+        daemon.address("http"),
+        &job_request("qso-confirm", "00000000000000a1", 5000, "two stations"),
+    );
+    let seen = worker.requests.lock().expect("requests")[0].clone();
     let mut told: Vec<String> = seen.headers.iter().map(|(name, value)| format!("{name}: {value}")).collect();
     told.retain(|header| !header.starts_with("x-time-left-ms"));
     let left: u32 = seen.header("x-time-left-ms").expect("the time left").parse().expect("whole ms");
     assert!(left <= 5000);
     insta::assert_snapshot!(
-        format!("{}\n{}\n{}\n=> {} {}", seen.first, told.join("\n"), seen.text(), answer.status, answer.text()),
+        format!("{}\n{}\n{}\n=> {} {}", seen.start_line, told.join("\n"), seen.text(), answer.status, answer.text()),
         @r"
     POST /qso-confirm/station-1?x=1 HTTP/1.1
     host: service.internal
@@ -38,22 +41,22 @@
 #[test]
 fn a_log_worker_that_falls_silent_over_a_job_holds_up_no_client() {
     let quiet = Worker::start("w-quiet", |request, to| {
-        objects(to, &[state(request, "started")], false);
+        send_objects(to, &[state_report(request, "started")], false);
         true
     });
     let sound = Worker::serving("w-sound");
     let discovery = Discovery::start(vec![quiet.entry("active"), sound.entry("leaving")]);
-    let mut config = config(discovery.address);
+    let mut config = platform_config(discovery.address);
     config["settings"]["specifics"]["progress_ms"] = 300.0.into();
     let daemon = Daemon::start(&config, None);
     let http = daemon.address("http");
     let start = Instant::now();
-    let answer = ask(http, &post("qso-confirm", "00000000000000b1", 20_000, ""));
+    let answer = exchange(http, &job_request("qso-confirm", "00000000000000b1", 20_000, ""));
     assert_eq!(answer.status, 500, "it may have run");
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
-    let client = send(http, &post("log-lookup", "00000000000000b2", 9_000, ""));
+    let client = send(http, &job_request("log-lookup", "00000000000000b2", 9_000, ""));
     wait_for("the look-up's attempt", || (quiet.count() >= 2).then_some(()));
-    discovery.change(sound.entry("active"));
+    discovery.send_change(sound.entry("active"));
     let answer = read_message(&mut BufReader::new(client)).expect("an answer");
     assert_eq!((answer.status, sound.count()), (200, 1), "it may run twice");
 }
@@ -72,10 +75,11 @@
         );
         to.write_all(text.as_bytes()).is_ok()
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let got: Vec<String> =
-        (0..4).map(|at| ask(http, &post("log-lookup", &format!("{at:016x}"), 5000, "")).text()).collect();
+    let got: Vec<String> = (0..4)
+        .map(|at| exchange(http, &job_request("log-lookup", &format!("{at:016x}"), 5000, "")).text())
+        .collect();
     assert_eq!(got, ["a \"quoted\" line\n", r#"{"b": [1,  2]}"#, "", "\u{151}"]);
     // One after another they share a connection: a new one costs the log worker work.
     assert_eq!(worker.connections.load(Ordering::SeqCst), 1);
@@ -84,20 +88,20 @@
 #[test]
 fn bad_requests_are_turned_down_and_counted() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let good = String::from_utf8(post("log-lookup", "00000000000000b1", 5000, "")).expect("text");
+    let good = String::from_utf8(job_request("log-lookup", "00000000000000b1", 5000, "")).expect("text");
     let long = "x".repeat(64 * 1024 + 1);
     let cases = [
         good.replace("POST", "PUT"),
         good.replace("X-Correlation-Id", "X-Other"),
         good.replace("Time-Left-Ms: 5000", "Time-Left-Ms: soon"),
         good.replace("log-lookup", "no-such-class"),
-        String::from_utf8(post("log-lookup", "00000000000000b2", 5000, &long)).expect("text"),
+        String::from_utf8(job_request("log-lookup", "00000000000000b2", 5000, &long)).expect("text"),
     ];
-    let statuses: Vec<u16> = cases.iter().map(|text| ask(http, text.as_bytes()).status).collect();
+    let statuses: Vec<u16> = cases.iter().map(|text| exchange(http, text.as_bytes()).status).collect();
     assert_eq!(statuses, [405, 400, 400, 400, 413]);
-    assert_eq!(ask(http, good.as_bytes()).status, 200, "the daemon goes on");
+    assert_eq!(exchange(http, good.as_bytes()).status, 200, "the daemon goes on");
     daemon.wait_counters("http", &["taken=1", "malformed=5", "served=1"]);
     assert_eq!(worker.count(), 1);
 }
@@ -107,24 +111,25 @@
 fn a_confirmation_that_may_have_run_is_failed_and_not_sent_again() {
     let cases: [(&str, &Behaviour); 4] = [
         ("breaks after its start", &|request, to| {
-            objects(to, &[state(request, "started")], false);
+            send_objects(to, &[state_report(request, "started")], false);
             false
         }),
         ("breaks before any answer", &|_, _| false),
         ("speaks nonsense", &|_, to| {
-            objects(to, &[json!("nonsense")], true);
+            send_objects(to, &[json!("nonsense")], true);
             false
         }),
         ("fails", &|request, to| {
-            objects(to, &[state(request, "failed")], true);
+            send_objects(to, &[state_report(request, "failed")], true);
             true
         }),
     ];
     for (case, behaviour) in cases {
         let behave = move |request: &Message, to: &mut std::net::TcpStream| behaviour(request, to);
         let (one, two) = (Worker::start("w-1", behave), Worker::start("w-2", behave));
-        let daemon = Daemon::over(&Discovery::of(&[&one, &two]));
-        let answer = ask(daemon.address("http"), &post("qso-confirm", "00000000000000c1", 5000, ""));
+        let daemon = Daemon::start_ready(&Discovery::listing(&[&one, &two]));
+        let answer =
+            exchange(daemon.address("http"), &job_request("qso-confirm", "00000000000000c1", 5000, ""));
         assert_eq!((answer.status, one.count() + two.count()), (500, 1), "{case}");
         daemon.wait_counters("http", &["taken=1", "failed=1", "refused=0", "served=0"]);
     }
@@ -150,17 +155,21 @@
         })
     };
     let (one, two) = (worker("w-1"), worker("w-2"));
-    let daemon = Daemon::over(&Discovery::of(&[&one, &two]));
-    assert_eq!(ask(daemon.address("http"), &post("qso-confirm", "00000000000000d1", 5000, "")).status, 200);
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&one, &two]));
+    assert_eq!(
+        exchange(daemon.address("http"), &job_request("qso-confirm", "00000000000000d1", 5000, "")).status,
+        200
+    );
     assert_eq!((one.count(), two.count()), (1, 1));
 }
 
 /// An answer is never held back, and says when to come back.
 #[test]
 fn a_refusal_comes_at_once_with_the_time_to_come_back() {
-    let gone = entry("w-1", "127.0.0.1:9".parse().expect("an address"), "active");
-    let daemon = Daemon::over(&Discovery::start(vec![gone]));
-    let answer = ask(daemon.address("http"), &post("qso-confirm", "00000000000000e1", 20_000, ""));
+    let gone = list_entry("w-1", "127.0.0.1:9".parse().expect("an address"), "active");
+    let daemon = Daemon::start_ready(&Discovery::start(vec![gone]));
+    let answer =
+        exchange(daemon.address("http"), &job_request("qso-confirm", "00000000000000e1", 20_000, ""));
     assert_eq!(answer.status, 503);
     let seconds: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
     assert!(seconds > 0.0);
@@ -169,12 +178,12 @@
 #[test]
 fn a_client_that_leaves_calls_its_job_off() {
     let worker = Worker::start("w-1", |request, to| {
-        objects(to, &[state(request, "started")], false);
+        send_objects(to, &[state_report(request, "started")], false);
         is_closed(to);
         false
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
-    let client = send(daemon.address("http"), &post("log-lookup", "00000000000000f1", 9000, ""));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
+    let client = send(daemon.address("http"), &job_request("log-lookup", "00000000000000f1", 9000, ""));
     wait_for("the job", || (worker.count() == 1).then_some(()));
     drop(client);
     daemon.wait_counters("http", &["taken=1", "client_gone=1", "cancelled=1"]);
@@ -186,8 +195,11 @@
         is_closed(to);
         false
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
-    assert_eq!(ask(daemon.address("http"), &post("qso-confirm", "0000000000000101", 300, "")).status, 500);
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
+    assert_eq!(
+        exchange(daemon.address("http"), &job_request("qso-confirm", "0000000000000101", 300, "")).status,
+        500
+    );
     daemon.wait_counters("http", &["taken=1", "failed=1"]);
 }
 
@@ -195,19 +207,19 @@
 #[test]
 fn a_draining_worker_gets_nothing_new_and_a_broken_watch_starts_again() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&one, &two]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     wait_for("a watch", || (discovery.watches.load(Ordering::SeqCst) == 1).then_some(()));
-    discovery.say("nonsense");
+    discovery.send_line("nonsense");
     wait_for("a second watch", || (discovery.watches.load(Ordering::SeqCst) == 2).then_some(()));
-    discovery.break_watches();
+    discovery.close_watches();
     wait_for("a third watch", || (discovery.watches.load(Ordering::SeqCst) == 3).then_some(()));
-    discovery.change(one.entry("leaving"));
+    discovery.send_change(one.entry("leaving"));
     daemon.wait_counters("http", &["lists=4", "lists_failed=2"]);
     let before = one.count();
     for at in 0..20 {
-        assert_eq!(ask(http, &post("log-lookup", &format!("{at:016x}"), 5000, "")).status, 200);
+        assert_eq!(exchange(http, &job_request("log-lookup", &format!("{at:016x}"), 5000, "")).status, 200);
     }
     assert_eq!((one.count(), two.count()), (before, 20));
 }
@@ -216,7 +228,7 @@
 #[test]
 fn the_list_is_asked_for_at_the_start() {
     let worker = Worker::serving("w-1");
-    let mut config = config(Discovery::of(&[&worker]).address);
+    let mut config = platform_config(Discovery::listing(&[&worker]).address);
     config["settings"]["rules"]["ask_every_ms"] = json!(1e7);
     Daemon::start(&config, None).wait_ready();
 }
@@ -226,12 +238,12 @@
 #[test]
 fn a_kept_connection_to_a_log_worker_unheard_for_long_is_replaced() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    assert_eq!(ask(http, &post("qso-confirm", "0000000000000001", 5000, "")).status, 200);
-    assert_eq!(ask(http, &post("qso-confirm", "0000000000000002", 5000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("qso-confirm", "0000000000000001", 5000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("qso-confirm", "0000000000000002", 5000, "")).status, 200);
     std::thread::sleep(std::time::Duration::from_millis(2000));
-    assert_eq!(ask(http, &post("qso-confirm", "0000000000000003", 5000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("qso-confirm", "0000000000000003", 5000, "")).status, 200);
     assert_eq!(worker.connections.load(Ordering::SeqCst), 2);
 }
 
@@ -249,9 +261,10 @@
         }
         *count != 3
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let asks = |class: &str, id: u32| ask(http, &post(class, &format!("{id:016x}"), 5000, "")).status;
+    let asks =
+        |class: &str, id: u32| exchange(http, &job_request(class, &format!("{id:016x}"), 5000, "")).status;
     assert_eq!((asks("log-lookup", 1), asks("qso-confirm", 2), asks("qso-confirm", 3)), (200, 200, 500));
     let connections = || worker.connections.load(Ordering::SeqCst);
     assert_eq!((asks("log-lookup", 4), connections()), (200, 2));
@@ -265,21 +278,21 @@
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = Mutex::new(Some(wait));
     let worker = Worker::start("w-1", move |request, to| {
-        if request.first.contains("qso-confirm") {
+        if request.start_line.contains("qso-confirm") {
             let _ = wait.lock().expect("the first").take().expect("one").recv();
         }
         serve(request, to, "fine");
         true
     });
-    let mut daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let mut daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let mut owed = BufReader::new(send(http, &post("qso-confirm", "0000000000000001", 20_000, "")));
+    let mut owed = BufReader::new(send(http, &job_request("qso-confirm", "0000000000000001", 20_000, "")));
     wait_for("the job", || (worker.count() == 1).then_some(()));
     let mut kept = BufReader::new(send(http, b""));
     let mut next = 2;
     let mut asks = || {
         next += 1;
-        let sent = kept.get_mut().write_all(&post("log-lookup", &format!("{next:016x}"), 5000, ""));
+        let sent = kept.get_mut().write_all(&job_request("log-lookup", &format!("{next:016x}"), 5000, ""));
         sent.ok().and_then(|()| read_message(&mut kept)).map(|answer| answer.status)
     };
     assert_eq!(asks(), Some(200));
@@ -296,11 +309,14 @@
 fn without_discovery_the_known_list_has_to_do() {
     let worker = Worker::serving("w-1");
     let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(silent.local_addr().expect("an address"));
+    let mut config = platform_config(silent.local_addr().expect("an address"));
     config["known"] = json!({"rev": 3, "all": true, "targets": [worker.entry("active")]});
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
-    assert_eq!(ask(daemon.address("http"), &post("log-lookup", "0000000000000111", 5000, "")).status, 200);
+    assert_eq!(
+        exchange(daemon.address("http"), &job_request("log-lookup", "0000000000000111", 5000, "")).status,
+        200
+    );
 }
 
 #[test]
@@ -310,9 +326,9 @@
         serve(request, to, "fine");
         true
     });
-    let mut daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let mut daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let mut client = BufReader::new(send(http, &post("qso-confirm", "0000000000000121", 9000, "")));
+    let mut client = BufReader::new(send(http, &job_request("qso-confirm", "0000000000000121", 9000, "")));
     wait_for("the job", || (worker.count() == 1).then_some(()));
     daemon.signal("TERM");
     wait_for("unready", || (get(http, "/health/ready").status == 503).then_some(()));
@@ -326,7 +342,7 @@
 fn a_bad_configuration_ends_it_with_a_line_that_names_the_field() {
     let discovery = "127.0.0.1:9".parse().expect("an address");
     let said = |change: &dyn Fn(&mut serde_json::Value), faktory: Option<&str>| {
-        let mut config = config(discovery);
+        let mut config = platform_config(discovery);
         change(&mut config);
         let (mut command, _folder) = Daemon::command(&config, faktory);
         let done = command.output().expect("the daemon runs");
@@ -366,8 +382,8 @@
         })
     };
     let worker = Worker::start("w-1", move |request, to| {
-        let line = format!("{}\n", state(request, "started"));
-        let mut done = state(request, "done");
+        let line = format!("{}\n", state_report(request, "started"));
+        let mut done = state_report(request, "done");
         done["result"] = "fine".into();
         let last = format!("{done}\n");
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -381,10 +397,10 @@
         };
         pieces(to, &text) && (!silent || to.read(&mut [0]).is_ok_and(|read| read > 0))
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let silent = send(http, &post("qso-confirm", "00000000000000f1", 1500, "silent"));
-    let whole = post("qso-confirm", "00000000000000f2", 5000, "in pieces");
+    let silent = send(http, &job_request("qso-confirm", "00000000000000f1", 1500, "silent"));
+    let whole = job_request("qso-confirm", "00000000000000f2", 5000, "in pieces");
     let mut client = std::net::TcpStream::connect(http).expect("a connection");
     assert!(pieces(&mut client, std::str::from_utf8(&whole).expect("text")));
     assert_eq!(read_message(&mut BufReader::new(client)).expect("an answer").status, 200);
@@ -398,7 +414,7 @@
 fn a_discovery_that_stops_in_a_line_is_asked_again() {
     let worker = Worker::serving("w-1");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let daemon = Daemon::start(&config(listener.local_addr().expect("an address")), None);
+    let daemon = Daemon::start(&platform_config(listener.local_addr().expect("an address")), None);
     let list = json!({"rev": 1, "all": true, "targets": [worker.entry("active")]}).to_string();
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
@@ -412,7 +428,10 @@
         watches.push(stream);
     }
     daemon.wait_ready();
-    assert_eq!(ask(daemon.address("http"), &post("log-lookup", "00000000000000f3", 5000, "")).status, 200);
+    assert_eq!(
+        exchange(daemon.address("http"), &job_request("log-lookup", "00000000000000f3", 5000, "")).status,
+        200
+    );
     daemon.wait_counters("http", &["lists=1", "lists_failed=1"]);
 }
 
@@ -420,7 +439,7 @@
 fn called(listener: &std::net::TcpListener) -> std::net::TcpStream {
     let (stream, _) = listener.accept().expect("a watch");
     let request = read_message(&mut BufReader::new(stream.try_clone().expect("a clone")));
-    assert!(request.is_some_and(|request| request.first.contains("watch=1")));
+    assert!(request.is_some_and(|request| request.start_line.contains("watch=1")));
     stream
 }
 
@@ -439,7 +458,7 @@
 fn indented_lists_are_read_on_a_watch_and_an_empty_line_confirms_the_version_held() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(listener.local_addr().expect("an address"));
+    let mut config = platform_config(listener.local_addr().expect("an address"));
     config["settings"]["rules"]["ask_every_ms"] = 100.0.into();
     let daemon = Daemon::start(&config, None);
     let pretty = |value: serde_json::Value| serde_json::to_string_pretty(&value).expect("text");
@@ -448,7 +467,7 @@
     let first = watched(&listener, &["", &list, "", &drain]);
     daemon.wait_counters("http", &["lists=2", "lists_failed=0"]);
     let http = daemon.address("http");
-    let ask_one = |id: &str| ask(http, &post("log-lookup", id, 5000, "")).status;
+    let ask_one = |id: &str| exchange(http, &job_request("log-lookup", id, 5000, "")).status;
     assert_eq!((ask_one("0000000000000201"), one.count(), two.count()), (200, 0, 1));
     drop(first);
     let _second = watched(&listener, &[""]);
@@ -464,7 +483,7 @@
 fn nothing_goes_by_a_list_that_a_silent_watch_left_too_old() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(listener.local_addr().expect("an address"));
+    let mut config = platform_config(listener.local_addr().expect("an address"));
     config["settings"]["rules"]["ask_every_ms"] = 20_000.0.into();
     let daemon = Daemon::start(&config, None);
     let list = json!({"rev": 1, "all": true, "targets": [one.entry("active")]}).to_string();
@@ -485,7 +504,7 @@
     }
     listener.set_nonblocking(false).expect("a listener");
     assert!(!heads.is_empty(), "it did not ask again in time");
-    let client = send(http, &post("log-lookup", "0000000000000211", 9_000, ""));
+    let client = send(http, &job_request("log-lookup", "0000000000000211", 9_000, ""));
     std::thread::sleep(Duration::from_millis(600));
     assert_eq!(one.count(), 0, "sent by a list that counts as replaced");
     let list = json!({"rev": 2, "all": true, "targets": [one.entry("leaving"), two.entry("active")]});
@@ -498,21 +517,21 @@
 #[test]
 fn a_pushed_lists_watch_that_breaks_is_opened_again_at_once() {
     let (one, two) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&one, &two]);
-    let mut config = config(discovery.address);
+    let discovery = Discovery::listing(&[&one, &two]);
+    let mut config = platform_config(discovery.address);
     config["settings"]["discovery"] = "automatic".into();
     config["settings"]["balancers"] = 300.into();
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let http = daemon.address("http");
     for turn in 2..5 {
-        discovery.set(vec![one.entry("leaving"), two.entry("active")]);
+        discovery.set_list(vec![one.entry("leaving"), two.entry("active")]);
         let broken = Instant::now();
-        discovery.break_watches();
+        discovery.close_watches();
         wait_for("a new watch", || (discovery.watches.load(Ordering::SeqCst) >= turn).then_some(()));
         assert!(broken.elapsed() < Duration::from_secs(5), "{:?}", broken.elapsed());
     }
     daemon.wait_counters("http", &["lists=4", "lists_failed=3"]);
-    assert_eq!(ask(http, &post("log-lookup", "0000000000000221", 5000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("log-lookup", "0000000000000221", 5000, "")).status, 200);
     assert_eq!((one.count(), two.count()), (0, 1));
 }
--- a/crates/rookspoke/tests/plugin.rs
+++ b/crates/rookspoke/tests/plugin.rs
@@ -5,7 +5,10 @@
 use std::io::Write;
 
 use bytes::{Buf, BufMut};
-use common::world::{config, objects, serve, state, Behaviour, Discovery, Late, Worker, PATIENCE};
+use common::world::{
+    platform_config, send_objects, serve, state_report, Behaviour, Discovery, LateWorker, Worker,
+    TEST_TIMEOUT,
+};
 use rookspoke_channel::Channel;
 use rookspoke_config::Config;
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
@@ -49,8 +52,8 @@
 /// One unary call through a channel over a log worker that behaves like this.
 fn call(behaviour: &'static Behaviour) -> (Result<String, Code>, Worker) {
     let worker = Worker::start("w-1", move |request, to| behaviour(request, to));
-    let discovery = Discovery::of(&[&worker]);
-    let config = Config::read(&config(discovery.address).to_string()).expect("a configuration");
+    let discovery = Discovery::listing(&[&worker]);
+    let config = Config::read(&platform_config(discovery.address).to_string()).expect("a configuration");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let answer = runtime.block_on(async {
         let (channel, core) = Channel::start(&config);
@@ -76,15 +79,18 @@
         true
     });
     assert_eq!(answer, Ok("it is".into()));
-    let seen = worker.seen.lock().expect("requests")[0].clone();
-    assert_eq!((seen.first.as_str(), &seen.body[..]), ("POST /qso-confirm/station-1 HTTP/1.1", &b"who?"[..]));
+    let seen = worker.requests.lock().expect("requests")[0].clone();
+    assert_eq!(
+        (seen.start_line.as_str(), &seen.body[..]),
+        ("POST /qso-confirm/station-1 HTTP/1.1", &b"who?"[..])
+    );
 }
 
 /// A dropped future is a client that left: nothing begins for it, though its attempt was on the way to a connection.
 #[test]
 fn a_call_that_is_dropped_is_sent_no_more() {
     for cancel in [true, false] {
-        let worker = Late::start("w-1");
+        let worker = LateWorker::start("w-1");
         let config = Config::read(&worker.config(cancel).to_string()).expect("a configuration");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
@@ -97,11 +103,11 @@
             let call = tower::Service::call(&mut channel, request);
             assert!(tokio::time::timeout(std::time::Duration::from_millis(200), call).await.is_err());
             assert_eq!(channel.counters().sent.get(), 1);
-            worker.opens();
+            worker.open();
             let counters = channel.counters();
             let ended = || counters.cancelled.get() + counters.not_sent.get() + counters.written.get() > 0;
             let start = std::time::Instant::now();
-            while !ended() && start.elapsed() < PATIENCE {
+            while !ended() && start.elapsed() < TEST_TIMEOUT {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             assert_eq!((channel.counters().written.get(), worker.count()), (0, 0));
@@ -118,7 +124,7 @@
     });
     assert_eq!(refused, Err(Code::Unavailable));
     let (failed, worker) = call(&|request, to| {
-        objects(to, &[state(request, "failed")], true);
+        send_objects(to, &[state_report(request, "failed")], true);
         true
     });
     assert_eq!((failed, worker.count()), (Err(Code::Unknown), 1));
--- a/crates/rookspoke/tests/scarce.rs
+++ b/crates/rookspoke/tests/scarce.rs
@@ -31,11 +31,11 @@
     let worker = Worker::start("w-1", |request, to| {
         if request.text() == "slow" {
             // A job whose start is not told waits in a queue, as far as a dispatcher can see.
-            objects(to, &[state(request, "started")], false);
+            send_objects(to, &[state_report(request, "started")], false);
             std::thread::sleep(Duration::from_millis(2_500));
-            let mut done = state(request, "done");
+            let mut done = state_report(request, "done");
             done["result"] = "slow".into();
-            more_objects(to, &[done], true);
+            send_more_objects(to, &[done], true);
             return true;
         }
         serve(request, to, "fine");
@@ -45,7 +45,7 @@
     let down = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     down.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
     let address = down.local_addr().expect("an address").as_socket().expect("an address");
-    let mut config = config(address);
+    let mut config = platform_config(address);
     config["known"] = json!({"rev": 1, "all": true, "targets": [worker.entry("active")]});
     config["settings"]["rules"]["ask_every_ms"] = 10_000.0.into();
     let daemon = limited(config, sockets, allowed);
@@ -53,18 +53,20 @@
     let http = daemon.address("http");
     daemon.wait_ready();
     let mut owed: Vec<_> = (0..2)
-        .map(|id| BufReader::new(send(http, &post("qso-confirm", &format!("{id:016x}"), 20_000, "slow"))))
+        .map(|id| {
+            BufReader::new(send(http, &job_request("qso-confirm", &format!("{id:016x}"), 20_000, "slow")))
+        })
         .collect();
     wait_for("the jobs", || (worker.count() == 2).then_some(()));
     let ready = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
     let idle: Vec<TcpStream> =
         (0..sockets * 6 / 10).map(|number| send(http, if number % 2 == 0 { ready } else { b"" })).collect();
     // The console, a client with a request and a new connection to a log worker still find room.
-    assert_eq!(daemon.operator("GET", "ready").status, 200);
-    let answer = ask(http, &post("log-lookup", "00000000000000a1", 5_000, ""));
+    assert_eq!(daemon.console_call("GET", "ready").status, 200);
+    let answer = exchange(http, &job_request("log-lookup", "00000000000000a1", 5_000, ""));
     let after = start.elapsed();
     assert_eq!((answer.status, answer.text().as_str()), (200, "fine"), "{sockets}, after {after:?}");
-    assert!(daemon.descriptors() <= allowed);
+    assert!(daemon.open_descriptors() <= allowed);
     for client in &mut owed {
         assert_eq!(read_message(client).expect("an answer").status, 200, "let go with a request under way");
     }
@@ -79,9 +81,9 @@
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     stream.write_all(format!("{head}{:x}\r\n{text}\r\n", text.len()).as_bytes()).expect("sent");
     daemon.wait_counters("http", &["lists=1"]);
-    let answer = ask(http, &post("log-lookup", "00000000000000a2", 5_000, ""));
+    let answer = exchange(http, &job_request("log-lookup", "00000000000000a2", 5_000, ""));
     let came: Vec<String> =
-        other.seen.lock().expect("requests").iter().map(|message| message.first.clone()).collect();
+        other.requests.lock().expect("requests").iter().map(|message| message.start_line.clone()).collect();
     assert_eq!((answer.status, came.len()), (200, 1), "{came:?}");
     drop(idle);
 }
@@ -98,7 +100,7 @@
 #[test]
 fn a_burst_of_connections_waits_for_a_busy_process() {
     let worker = Worker::serving("w-1");
-    let daemon = limited(config(Discovery::of(&[&worker]).address), 1_024, 1_024);
+    let daemon = limited(platform_config(Discovery::listing(&[&worker]).address), 1_024, 1_024);
     let http = daemon.address("http");
     daemon.wait_ready();
     daemon.signal("STOP");
@@ -109,7 +111,7 @@
     daemon.signal("CONT");
     assert_eq!(burst.len(), 400, "the next one's first packet was dropped");
     let mut last = burst.pop().expect("a connection");
-    last.write_all(&post("log-lookup", "00000000000000a1", 5_000, "")).expect("sent");
+    last.write_all(&job_request("log-lookup", "00000000000000a1", 5_000, "")).expect("sent");
     assert_eq!(read_message(&mut BufReader::new(last)).expect("an answer").status, 200);
 }
 
@@ -129,11 +131,11 @@
 #[test]
 fn an_accept_that_fails_neither_spins_nor_ends_the_listener() {
     let worker = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&worker]);
-    let daemon = limited(config(discovery.address), 1_024, 48);
+    let discovery = Discovery::listing(&[&worker]);
+    let daemon = limited(platform_config(discovery.address), 1_024, 48);
     let http = daemon.address("http");
     daemon.wait_ready();
-    assert_eq!(ask(http, &post("log-lookup", "00000000000000a1", 5_000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("log-lookup", "00000000000000a1", 5_000, "")).status, 200);
     let crowd: Vec<TcpStream> = (0..100).map(|_| send(http, b"")).collect();
     daemon.wait_log("accept: ");
     let before = processor_time(&daemon);
@@ -141,7 +143,7 @@
     let spent = processor_time(&daemon) - before;
     assert!(spent < 0.3, "{spent} s of processor time in one second");
     drop(crowd);
-    assert_eq!(ask(http, &post("log-lookup", "00000000000000a2", 5_000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("log-lookup", "00000000000000a2", 5_000, "")).status, 200);
     assert!(daemon.log().iter().filter(|line| line.contains("accept: ")).count() < 400);
 }
 
@@ -185,7 +187,7 @@
     let start = Instant::now();
     let daemons: Vec<Daemon> = (0..28)
         .map(|number| {
-            let mut config = config(address);
+            let mut config = platform_config(address);
             config["settings"]["balancers"] = 40.into();
             config["settings"]["me"] = number.into();
             config["settings"]["rules"]["ask_every_ms"] = 10_000.0.into();
@@ -197,13 +199,13 @@
         })
         .collect();
     let mut ready: Vec<Option<Duration>> = vec![None; daemons.len()];
-    while ready.iter().any(Option::is_none) && start.elapsed() < PATIENCE {
+    while ready.iter().any(Option::is_none) && start.elapsed() < TEST_TIMEOUT {
         for (at, daemon) in ready.iter_mut().zip(&daemons).filter(|(at, _)| at.is_none()) {
             *at = (get(daemon.address("http"), "/health/ready").status == 200).then(|| start.elapsed());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    let mut times: Vec<Duration> = ready.iter().map(|at| at.unwrap_or(PATIENCE)).collect();
+    let mut times: Vec<Duration> = ready.iter().map(|at| at.unwrap_or(TEST_TIMEOUT)).collect();
     times.sort();
     let (median, ninth, worst) =
         (times[times.len() / 2], times[times.len() * 9 / 10], times[times.len() - 1]);
--- a/crates/rookspoke/tests/shutdown.rs
+++ b/crates/rookspoke/tests/shutdown.rs
@@ -106,8 +106,8 @@
             Workers::Hang => None,
         };
         let workers: Vec<Worker> = (0..6).map(|n| worker(&format!("w-{n}"), takes)).collect();
-        let discovery = Discovery::of(&workers.iter().collect::<Vec<_>>());
-        let mut config = config(discovery.address);
+        let discovery = Discovery::listing(&workers.iter().collect::<Vec<_>>());
+        let mut config = platform_config(discovery.address);
         for class in config["settings"]["classes"].as_array_mut().expect("classes") {
             class["deadline_ms"] = (self.deadline.as_millis() as f64).into();
             class["goal_time_ms"] = class["deadline_ms"].clone();
@@ -199,7 +199,7 @@
 fn worker(uid: &str, takes: Option<Duration>) -> Worker {
     Worker::start(uid, move |request, to| {
         let Some(takes) = takes else {
-            thread::sleep(PATIENCE);
+            thread::sleep(TEST_TIMEOUT);
             return false;
         };
         thread::sleep(takes);
@@ -255,7 +255,7 @@
         let class = if self.number.is_multiple_of(3) { "qso-confirm" } else { "log-lookup" };
         // Some clients wait for less than the longest deadline.
         let waits = if self.number.is_multiple_of(2) { self.deadline } else { self.deadline.min(SHORT_WAIT) };
-        let text = post(class, &id, waits.as_millis() as u32, "0123456789");
+        let text = job_request(class, &id, waits.as_millis() as u32, "0123456789");
         (id, text)
     }
 
@@ -383,8 +383,8 @@
 #[test]
 fn nothing_is_open_to_a_new_request_at_the_kill() {
     let worker = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&worker]);
-    let mut config = config(discovery.address);
+    let discovery = Discovery::listing(&[&worker]);
+    let mut config = platform_config(discovery.address);
     let deadline = Duration::from_millis(700);
     for class in config["settings"]["classes"].as_array_mut().expect("classes") {
         class["deadline_ms"] = (deadline.as_millis() as f64).into();
@@ -393,7 +393,7 @@
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let http = daemon.address("http");
-    let request = |id: u32| post("log-lookup", &format!("{id:016x}"), 700, "0123456789");
+    let request = |id: u32| job_request("log-lookup", &format!("{id:016x}"), 700, "0123456789");
     let used = |id: u32| {
         let mut connection = connect(http);
         connection.get_mut().write_all(&request(id)).expect("sent");
@@ -482,7 +482,7 @@
 
 #[test]
 fn shutdowns_drawn_from_seeds_lose_nothing() {
-    let seeds: Vec<u64> = soak::seeds_by_hand().unwrap_or(SEEDS).collect();
+    let seeds: Vec<u64> = soak::seeds_from_env().unwrap_or(SEEDS).collect();
     for seeds in seeds.chunks(TOGETHER) {
         let started = seeds.iter().map(|seed| {
             let play = drawn(*seed);
--- a/crates/rookspoke/tests/soak.rs
+++ b/crates/rookspoke/tests/soak.rs
@@ -69,7 +69,7 @@
 
 #[test]
 fn fleets_drawn_from_seeds_keep_every_rule() {
-    let by_hand = soak::seeds_by_hand();
+    let by_hand = soak::seeds_from_env();
     let sizes = if by_hand.is_some() { Sizes::FULL } else { Sizes::SMALL };
     let mut broken = Vec::new();
     for seed in by_hand.clone().unwrap_or(SEEDS) {
--- a/crates/rookspoke/tests/vrrp.rs
+++ b/crates/rookspoke/tests/vrrp.rs
@@ -10,7 +10,7 @@
 fn file(own: &UdpSocket, peer: &UdpSocket, priority: u8) -> String {
     let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
     format!(
-        "{ON}vrrp {{\n listen {}\n peers {}\n router 7\n priority {priority}\n interval 200ms\n \
+        "{FRONT_ENABLED}vrrp {{\n listen {}\n peers {}\n router 7\n priority {priority}\n interval 200ms\n \
          addresses 192.0.2.1\n}}\n",
         address(own),
         address(peer)
@@ -23,7 +23,7 @@
     let files = [file(&sockets[0], &sockets[1], 200), file(&sockets[1], &sockets[0], 100)];
     let backup_port = sockets[1].local_addr().expect("an address");
     drop(sockets);
-    let (mut strong, weak) = (daemon(&files[0]), daemon(&files[1]));
+    let (mut strong, weak) = (start_daemon(&files[0]), start_daemon(&files[1]));
     strong.wait_log("vrrp: master");
     // The weak one may have been the master for a moment, if it started long before the other.
     let mut at_weak = Peer::producer(weak.address("faktory"));
@@ -31,14 +31,14 @@
         at_weak.push(&job("job-00000001", "no-such")).contains("is a backup").then_some(())
     });
     let mut idle = Peer::consumer(weak.address("faktory"), "c-0");
-    assert_eq!(idle.say("FETCH default"), "-ERR this server is a backup: fetch from the master");
+    assert_eq!(idle.call("FETCH default"), "-ERR this server is a backup: fetch from the master");
 
     let mut consumer = Peer::consumer(strong.address("faktory"), "c-1");
-    consumer.tell("FETCH default");
+    consumer.send("FETCH default");
     let mut producer = Peer::producer(strong.address("faktory"));
     wait_for("a consumer", || producer.info()["listed"].as_array()?.first().map(drop));
     assert_eq!(producer.push(&job("job-00000002", "qso-confirm")), "+OK");
-    assert_eq!(consumer.fetched()["jid"], "job-00000002");
+    assert_eq!(consumer.fetch_pending()["jid"], "job-00000002");
     // Foreign and damaged packets are dropped.
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
     stranger.send_to(b"nonsense", backup_port).expect("sent");
