--- a/crates/rookspoke/tests/deployment.rs
+++ b/crates/rookspoke/tests/deployment.rs
@@ -11,7 +11,7 @@
 
 /// A job with further header lines.
 fn post_with_headers(lines: &[u8], class: &str, id: u32) -> Vec<u8> {
-    let plain = post(class, &format!("{id:016x}"), 5_000, "");
+    let plain = job_request(class, &format!("{id:016x}"), 5_000, "");
     let head = plain.windows(2).position(|w| w == b"\r\n").expect("a first line") + 2;
     [&plain[..head], lines, &plain[head..]].concat()
 }
@@ -25,7 +25,7 @@
 }
 
 fn start_daemon(worker: &Worker, change_settings: impl Fn(&mut Value)) -> Daemon {
-    let mut config = config(Discovery::of(&[worker]).address);
+    let mut config = platform_config(Discovery::listing(&[worker]).address);
     config["settings"]["limits"]["second_copies"] = false.into();
     change_settings(&mut config["settings"]);
     let daemon = Daemon::start(&config, None);
@@ -42,7 +42,7 @@
         let answered = stream.peek(&mut [0; 12]).is_ok_and(|n| n > 0);
         (answered || worker.count() > before).then_some(answered)
     });
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     if refused {
         let answer =
             read_message(&mut BufReader::new(stream.try_clone().expect("a clone"))).expect("an answer");
@@ -132,7 +132,7 @@
         (b"X-Account: \xff\r\n", 400),
     ];
     for (id, (lines, status)) in cases.iter().enumerate() {
-        let answer = ask(http, &post_with_headers(lines, "log-lookup", id as u32));
+        let answer = exchange(http, &post_with_headers(lines, "log-lookup", id as u32));
         assert_eq!(answer.status, *status, "{}", String::from_utf8_lossy(lines));
     }
     daemon.wait_counters("http", &["taken=3", "served=3", "malformed=3"]);
@@ -147,7 +147,7 @@
 
 /// Starts a daemon whose confirmations may be retried within their rack for this long.
 fn start_with_dedup_window(discovery: &Discovery, window_ms: f64) -> Daemon {
-    let mut config = config(discovery.address);
+    let mut config = platform_config(discovery.address);
     let class = &mut config["settings"]["classes"][1];
     class["effect"] = "idempotency_key".into();
     class["group"] = "cell".into();
@@ -170,11 +170,11 @@
     let other = Worker::serving("w-3");
     let discovery = Discovery::start(vec![entry_in_rack(&first, 1, "active")]);
     let daemon = start_with_dedup_window(&discovery, 10_000.0);
-    let client = send(daemon.address("http"), &post("qso-confirm", "0000000000000001", 9_000, ""));
+    let client = send(daemon.address("http"), &job_request("qso-confirm", "0000000000000001", 9_000, ""));
     wait_for("the first attempt", || (first.count() == 1).then_some(()));
     // Another rack becomes active, and the job's own rack drains.
-    discovery.change(entry_in_rack(&other, 2, "active"));
-    discovery.change(entry_in_rack(&first, 1, "leaving"));
+    discovery.send_change(entry_in_rack(&other, 2, "active"));
+    discovery.send_change(entry_in_rack(&first, 1, "leaving"));
     daemon.wait_counters("http", &["lists=3"]);
     let broken = Instant::now();
     break_connection.send(()).expect("the log worker waits");
@@ -196,14 +196,14 @@
         let lines = format!("Idempotency-Key: {key}\r\nX-Repeat: 1\r\n");
         let request =
             String::from_utf8(post_with_headers(lines.as_bytes(), "qso-confirm", id)).expect("text");
-        ask(http, request.replace("station-1", key).as_bytes()).status
+        exchange(http, request.replace("station-1", key).as_bytes()).status
     };
     assert_eq!((retry("a", 1), retry("b", 2)), (500, 500), "the requests may have run");
     let sent = Instant::now();
     // Rack 1 now consists of one other log worker, and rack 2 of four.
-    discovery.change(entry_in_rack(&first, 1, "leaving"));
-    discovery.change(entry_in_rack(&same_rack, 1, "active"));
-    others.iter().for_each(|other| discovery.change(entry_in_rack(other, 2, "active")));
+    discovery.send_change(entry_in_rack(&first, 1, "leaving"));
+    discovery.send_change(entry_in_rack(&same_rack, 1, "active"));
+    others.iter().for_each(|other| discovery.send_change(entry_in_rack(other, 2, "active")));
     daemon.wait_counters("http", &["lists=7"]);
     let other_rack_count = || others.iter().map(Worker::count).sum::<usize>();
     assert_eq!((retry("a", 3), same_rack.count(), other_rack_count()), (200, 1, 0));
@@ -212,7 +212,7 @@
     assert!(other_rack_count() > 0, "all requests went to rack 1");
     let before = other_rack_count() + same_rack.count();
     // With the rack drained or the deduplication window over, the retry fails at once.
-    discovery.change(entry_in_rack(&same_rack, 1, "leaving"));
+    discovery.send_change(entry_in_rack(&same_rack, 1, "leaving"));
     daemon.wait_counters("http", &["lists=8"]);
     let sent_again = Instant::now();
     assert_eq!(retry("b", 40), 500);
@@ -221,12 +221,12 @@
         "{:?}: the failure was delayed",
         sent_again.elapsed()
     );
-    discovery.change(entry_in_rack(&same_rack, 1, "active"));
+    discovery.send_change(entry_in_rack(&same_rack, 1, "active"));
     daemon.wait_counters("http", &["lists=9"]);
     std::thread::sleep(Duration::from_millis(3_100).saturating_sub(sent.elapsed()));
     assert_eq!(retry("b", 41), 500, "the deduplication window is over");
     assert_eq!(other_rack_count() + same_rack.count(), before, "a retry was forwarded");
     // An invalid key header affects only its own request.
     let twice = b"Idempotency-Key: a\r\nIdempotency-Key: b\r\n";
-    assert_eq!(ask(http, &post_with_headers(twice, "qso-confirm", 50)).status, 400);
+    assert_eq!(exchange(http, &post_with_headers(twice, "qso-confirm", 50)).status, 400);
 }
--- a/crates/rookspoke/tests/drawn_lists.rs
+++ b/crates/rookspoke/tests/drawn_lists.rs
@@ -127,7 +127,7 @@
     fn entries(&self, workers: &[RecordingWorker]) -> Vec<Value> {
         let nowhere: SocketAddr = (Ipv4Addr::LOCALHOST, 9).into();
         let mut entries: Vec<Value> =
-            (0..self.others).map(|n| entry(&format!("other-{n:05}"), nowhere, "leaving")).collect();
+            (0..self.others).map(|n| list_entry(&format!("other-{n:05}"), nowhere, "leaving")).collect();
         if self.has_unreadable {
             entries.push(json!({"uid": "other-x", "state": 7}));
         }
@@ -251,10 +251,10 @@
     let (mut jobs, mut served) = (0, 0);
     while Instant::now() < until {
         let id = format!("{client:04x}{jobs:012x}");
-        let request = String::from_utf8(post("log-lookup", &id, 9_000, "")).expect("text");
+        let request = String::from_utf8(job_request("log-lookup", &id, 9_000, "")).expect("text");
         let request = request.replace("station-1", &format!("station-{}", jobs % 40));
         jobs += 1;
-        served += usize::from(ask(http, request.as_bytes()).status == 200);
+        served += usize::from(exchange(http, request.as_bytes()).status == 200);
         thread::sleep(Duration::from_millis(5));
     }
     (jobs, served)
@@ -276,7 +276,7 @@
         (0..SERVING).map(|n| RecordingWorker::start(&format!("w-{n}"))).collect();
     let first: Vec<Value> = workers.iter().map(|worker| worker.0.entry("active")).collect();
     let discovery = ListServer::start(json!({"rev": 1, "all": true, "targets": first}).to_string() + "\n");
-    let daemon = Daemon::start(&config(discovery.address), None);
+    let daemon = Daemon::start(&platform_config(discovery.address), None);
     daemon.wait_ready();
     let http = daemon.address("http");
     let until = Instant::now() + BETWEEN_CHANGES * (CHANGES as u32 + 1);
@@ -333,7 +333,7 @@
 
 #[test]
 fn no_job_goes_to_a_draining_log_worker_with_randomized_lists() {
-    let seeds: Vec<u64> = soak::seeds_by_hand().unwrap_or(SEEDS).collect();
+    let seeds: Vec<u64> = soak::seeds_from_env().unwrap_or(SEEDS).collect();
     let mut failed = Vec::new();
     for seeds in seeds.chunks(PARALLEL_RUNS) {
         thread::scope(|scope| {
--- a/crates/rookspoke/tests/ends.rs
+++ b/crates/rookspoke/tests/ends.rs
@@ -22,15 +22,15 @@
 /// read its answer and then the end of the stream, never a reset.
 #[test]
 fn closing_with_unread_bytes_does_not_reset_the_last_answer() {
-    let worker = Worker::giving("w-1", "x".repeat(60_000));
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let worker = Worker::serving_with("w-1", "x".repeat(60_000));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let with_close = |text: Vec<u8>| {
         String::from_utf8(text).expect("text").replace("Host:", "Connection: close\r\nHost:").into_bytes()
     };
-    let job = with_close(post("log-lookup", "0000000000000001", 5_000, ""));
-    let next_request = post("log-lookup", "0000000000000002", 5_000, "");
-    let long = post("log-lookup", "0000000000000003", 5_000, &"x".repeat(200_000));
+    let job = with_close(job_request("log-lookup", "0000000000000001", 5_000, ""));
+    let next_request = job_request("log-lookup", "0000000000000002", 5_000, "");
+    let long = job_request("log-lookup", "0000000000000003", 5_000, &"x".repeat(200_000));
     let cases = [
         ("a request behind the last one", 200, job, next_request.clone()),
         ("a body that is too long", 413, long[..500].to_vec(), long[500..].to_vec()),
@@ -59,20 +59,20 @@
 /// answered or never forwarded. The process exits in time although one client does not read its answer.
 #[test]
 fn requests_that_arrive_during_the_shutdown_are_answered_or_not_forwarded() {
-    let worker = Worker::giving("w-1", "x".repeat(30_000));
-    let mut daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let worker = Worker::serving_with("w-1", "x".repeat(30_000));
+    let mut daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let mut idle: Vec<_> = (1..=40)
         .map(|id| {
             let mut client =
-                BufReader::new(send(http, &post("log-lookup", &format!("{id:016x}"), 5_000, "")));
+                BufReader::new(send(http, &job_request("log-lookup", &format!("{id:016x}"), 5_000, "")));
             assert_eq!(read_message(&mut client).expect("an answer").status, 200);
             client
         })
         .collect();
     let mut unused: Vec<_> = (0..40).map(|_| BufReader::new(send(http, b""))).collect();
     // A client that does not read, so that its answer fills all buffers on the way.
-    let slow = send(http, &post("log-lookup", "00000000000000ff", 5_000, ""));
+    let slow = send(http, &job_request("log-lookup", "00000000000000ff", 5_000, ""));
     daemon.signal("TERM");
     let signalled = Instant::now();
     // The process is suspended past the time at which it would close idle connections. When it resumes, both the requests
@@ -82,7 +82,7 @@
     let sends = |number: usize, client: &mut BufReader<TcpStream>| {
         client
             .get_mut()
-            .write_all(&post("log-lookup", &format!("{:016x}", 0x100 + number), 5_000, ""))
+            .write_all(&job_request("log-lookup", &format!("{:016x}", 0x100 + number), 5_000, ""))
             .is_ok()
     };
     let all_sent = idle.iter_mut().enumerate().all(|(number, client)| sends(number, client));
@@ -130,15 +130,15 @@
     };
     // The log worker for the retry is listed once the first attempt has been sent.
     let run = |first: &Worker, second: &dyn Fn() -> serde_json::Value, meanwhile: &dyn Fn()| {
-        let discovery = Discovery::of(&[first]);
-        let mut config = config(discovery.address);
+        let discovery = Discovery::listing(&[first]);
+        let mut config = platform_config(discovery.address);
         set_keyed(&mut config);
         let daemon = Daemon::start(&config, None);
         daemon.wait_ready();
-        let client = send(daemon.address("http"), &post("qso-confirm", "0000000000000001", 6_000, ""));
+        let client = send(daemon.address("http"), &job_request("qso-confirm", "0000000000000001", 6_000, ""));
         wait_for("the first attempt", || (first.count() == 1).then_some(()));
         let sent = Instant::now();
-        discovery.change(second());
+        discovery.send_change(second());
         meanwhile();
         let status = read_message(&mut BufReader::new(client)).expect("an answer").status;
         (status, sent.elapsed())
@@ -157,10 +157,10 @@
         assert!(after < Duration::from_millis(ms + 500), "{after:?}: the failure was delayed");
     }
     // Decided on inside the window; the connection is established outside.
-    let (first, second) = (break_after(300), Late::start("w-2"));
+    let (first, second) = (break_after(300), LateWorker::start("w-2"));
     let (status, _) = run(&first, &|| second.entry("active"), &|| {
         std::thread::sleep(Duration::from_millis(1_200));
-        second.opens();
+        second.open();
     });
     assert_eq!((status, second.count()), (500, 0), "decided on inside the window, sent outside");
 }
@@ -172,24 +172,24 @@
 fn data_after_the_final_object_of_an_answer_affects_neither_other_jobs_nor_memory() {
     for case in ["a second answer", "a second final object", "a flood", "silence"] {
         let behaviour = move |request: &Message, to: &mut TcpStream| {
-            let mut done = state(request, "done");
+            let mut done = state_report(request, "done");
             done["result"] = "fine".into();
-            let started = state(request, "started");
+            let started = state_report(request, "started");
             let final_line = format!("{done}\n");
             match case {
                 "a second answer" => {
-                    objects(to, &[started, done], true);
+                    send_objects(to, &[started, done], true);
                     std::thread::sleep(Duration::from_millis(5));
                     serve(request, to, "spoilt");
                 }
-                "a second final object" => objects(to, &[started, done.clone(), done], true),
+                "a second final object" => send_objects(to, &[started, done.clone(), done], true),
                 "a flood" => {
-                    objects(to, &[started, done], false);
+                    send_objects(to, &[started, done], false);
                     let chunk = format!("{:x}\r\n{final_line}\r\n", final_line.len()).repeat(1_000);
                     (0..500).all(|_| to.write_all(chunk.as_bytes()).is_ok());
                 }
                 _ => {
-                    objects(to, &[started, done], false);
+                    send_objects(to, &[started, done], false);
                     let _ = to.read(&mut [0]);
                 }
             }
@@ -197,10 +197,10 @@
         };
         // A job that meets the rest of an earlier answer goes to another log worker, and no failure is counted against either.
         let workers: Vec<Worker> = (1..=4).map(|n| Worker::start(&format!("w-{n}"), behaviour)).collect();
-        let daemon = Daemon::over(&Discovery::of(&workers.iter().collect::<Vec<_>>()));
+        let daemon = Daemon::start_ready(&Discovery::listing(&workers.iter().collect::<Vec<_>>()));
         let http = daemon.address("http");
         for id in 1..=5 {
-            let answer = ask(http, &post("log-lookup", &format!("{id:016x}"), 5_000, ""));
+            let answer = exchange(http, &job_request("log-lookup", &format!("{id:016x}"), 5_000, ""));
             assert_eq!((answer.status, answer.text().as_str()), (200, "fine"), "{case}, job {id}");
         }
         daemon.wait_counters("http", &["served=5", "failed=0", "refused=0"]);
@@ -237,11 +237,12 @@
     // One log worker for each cut, since one that failed gets no jobs for a while.
     let workers: Vec<Worker> =
         (0..cuts.len()).map(|n| Worker::start(&format!("w-{n}"), behaviour.clone())).collect();
-    let daemon = Daemon::over(&Discovery::of(&workers.iter().collect::<Vec<_>>()));
+    let daemon = Daemon::start_ready(&Discovery::listing(&workers.iter().collect::<Vec<_>>()));
     let http = daemon.address("http");
     let mut served = 0;
     for cut in &cuts {
-        let answer = ask(http, &post("qso-confirm", &format!("{cut:016x}"), 5_000, &cut.to_string()));
+        let answer =
+            exchange(http, &job_request("qso-confirm", &format!("{cut:016x}"), 5_000, &cut.to_string()));
         match answer.status {
             200 => {
                 served += 1;
@@ -258,13 +259,15 @@
 /// Guards against clients that hardly read their answers delaying the requests of others.
 #[test]
 fn slow_readers_do_not_delay_other_clients() {
-    let worker = Worker::giving("w-1", "x".repeat(60_000));
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let worker = Worker::serving_with("w-1", "x".repeat(60_000));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
     let slow: Vec<TcpStream> = (0..20)
         .map(|id| {
             let mut client = connect_with_small_buffer(http);
-            client.write_all(&post("log-lookup", &format!("{:016x}", 0x50 + id), 5_000, "")).expect("sent");
+            client
+                .write_all(&job_request("log-lookup", &format!("{:016x}", 0x50 + id), 5_000, ""))
+                .expect("sent");
             client
         })
         .collect();
@@ -272,7 +275,7 @@
     let mut byte = [0];
     for (number, mut client) in slow.iter().enumerate() {
         assert_eq!(client.read(&mut byte).expect("a byte"), 1);
-        let quick = ask(http, &post("log-lookup", &format!("{:016x}", 0x90 + number), 5_000, ""));
+        let quick = exchange(http, &job_request("log-lookup", &format!("{:016x}", 0x90 + number), 5_000, ""));
         assert_eq!((quick.status, quick.body.len()), (200, 60_000));
     }
 }
@@ -291,16 +294,17 @@
         true
     });
     let other = Worker::serving("w-2");
-    let discovery = Discovery::of(&[&worker]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&worker]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
-    let status = |class: &str, id: u32| ask(http, &post(class, &format!("{id:016x}"), 5_000, "")).status;
+    let status =
+        |class: &str, id: u32| exchange(http, &job_request(class, &format!("{id:016x}"), 5_000, "")).status;
     assert_eq!(
         (status("log-lookup", 1), status("qso-confirm", 2)),
         (200, 500),
         "the confirmation may have run"
     );
-    discovery.change(other.entry("active"));
+    discovery.send_change(other.entry("active"));
     daemon.wait_counters("http", &["lists=2"]);
     assert_eq!((status("log-lookup", 3), other.count()), (200, 0), "the job avoided a healthy log worker");
     let connections = worker.connections.load(Ordering::SeqCst);
@@ -312,9 +316,9 @@
 #[test]
 fn client_that_stops_within_a_request_is_disconnected_within_three_seconds() {
     let worker = Worker::serving("w-1");
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let http = daemon.address("http");
-    let request = |id: u32| post("log-lookup", &format!("{id:016x}"), 60_000, "0123456789");
+    let request = |id: u32| job_request("log-lookup", &format!("{id:016x}"), 60_000, "0123456789");
     let full_length = request(1).len();
     let partial = |used: bool, id: u32, length: usize| {
         let mut connection = BufReader::new(send(http, b""));
--- a/crates/rookspoke/tests/large_lists.rs
+++ b/crates/rookspoke/tests/large_lists.rs
@@ -21,7 +21,7 @@
     let nowhere: SocketAddr = ([127, 0, 0, 1], 9).into();
     let name = |n: usize| format!("s-{:08x}", (n as u32).wrapping_mul(0x9e37_79b1));
     let entry = |n: usize| {
-        let mut entry = entry(&name(n), nowhere, "leaving");
+        let mut entry = list_entry(&name(n), nowhere, "leaving");
         entry["boot_ms"] = 1_796_162_400_000_u64.into();
         entry
     };
@@ -42,7 +42,7 @@
         if Instant::now() >= until {
             return;
         }
-        let answer = ask(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+        let answer = exchange(http, &job_request("log-lookup", &format!("{id:016x}"), 9_000, ""));
         assert_eq!(answer.status, 200, "job {id}");
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -51,17 +51,17 @@
 /// A change of this many entries says that a log worker drains. No job may go there after the grace.
 fn check_drain_in_change_of(entries: usize) {
     let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&draining, &other]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&draining, &other]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     send_jobs_until(http, Instant::now() + Duration::from_millis(500));
     let mut changed = draining_entries(entries - 1);
     changed.push(draining.entry("leaving"));
     let mut list = changed.clone();
     list.push(other.entry("active"));
-    discovery.set(list);
+    discovery.set_list(list);
     let announced = Instant::now();
-    discovery.say(&list_change(&changed).to_string());
+    discovery.send_line(&list_change(&changed).to_string());
     send_jobs_until(http, announced + DRAIN_GRACE);
     let before = draining.count();
     send_jobs_until(http, announced + DRAIN_GRACE + OBSERVATION);
@@ -90,15 +90,15 @@
 /// Starts a process without a known list, whose first list is in this layout.
 fn check_start_with(layout: &str, list: &str, worker: &Worker) {
     let discovery = Discovery::start(Vec::new());
-    discovery.set_text(list);
-    let daemon = Daemon::start(&config(discovery.address), None);
+    discovery.set_list_text(list);
+    let daemon = Daemon::start(&platform_config(discovery.address), None);
     let started = Instant::now();
     let http = daemon.address("http");
     while get(http, "/health/ready").status != 200 {
         assert!(started.elapsed() < Duration::from_secs(10), "not ready with a list that is {layout}");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let answer = ask(http, &post("log-lookup", "0000000000000001", 9_000, ""));
+    let answer = exchange(http, &job_request("log-lookup", "0000000000000001", 9_000, ""));
     assert_eq!((answer.status, worker.count()), (200, 1), "a list that is {layout}");
     assert!(daemon.counters("http").contains(" lists_failed=0 "), "a list that is {layout}");
 }
@@ -136,15 +136,15 @@
 #[test]
 fn one_unreadable_entry_leaves_the_rest_of_a_change_in_effect() {
     let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&draining, &other]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&draining, &other]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
-    let mut unreadable = entry("w-3", draining.address, "leaving");
+    let mut unreadable = list_entry("w-3", draining.address, "leaving");
     unreadable["endpoint"] = "nowhere".into();
     let changed = [unreadable, draining.entry("leaving")];
-    discovery.set([&changed[..], &[other.entry("active")]].concat());
+    discovery.set_list([&changed[..], &[other.entry("active")]].concat());
     let announced = Instant::now();
-    discovery.say(&list_change(&changed).to_string());
+    discovery.send_line(&list_change(&changed).to_string());
     send_jobs_until(http, announced + DRAIN_GRACE);
     let before = draining.count();
     send_jobs_until(http, announced + DRAIN_GRACE + OBSERVATION);
@@ -156,16 +156,16 @@
 #[test]
 fn no_job_goes_to_a_log_worker_whose_entry_became_unreadable() {
     let (worker, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&worker, &other]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&worker, &other]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     let announced = Instant::now();
-    discovery.say(&list_change(&[worker.entry("resting")]).to_string());
+    discovery.send_line(&list_change(&[worker.entry("resting")]).to_string());
     send_jobs_until(http, announced + DRAIN_GRACE);
     let before = worker.count();
     send_jobs_until(http, announced + DRAIN_GRACE + Duration::from_millis(500));
     assert_eq!(worker.count(), before, "jobs sent to a log worker with an unreadable entry");
-    discovery.say(&list_change(&[worker.entry("active"), other.entry("leaving")]).to_string());
+    discovery.send_line(&list_change(&[worker.entry("active"), other.entry("leaving")]).to_string());
     wait_for("jobs to be sent to it again", || {
         send_jobs_until(http, Instant::now() + Duration::from_millis(50));
         (worker.count() > before).then_some(())
@@ -175,11 +175,11 @@
 #[test]
 fn process_starts_with_one_unreadable_entry_in_the_known_list() {
     let worker = Worker::serving("w-1");
-    let mut config = config(([127, 0, 0, 1], 9).into());
+    let mut config = platform_config(([127, 0, 0, 1], 9).into());
     config["known"] = complete_list(&[worker.entry("active"), json!({"uid": "w-2"})]);
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
-    assert_eq!(ask(daemon.address("http"), &post("log-lookup", "01", 5_000, "")).status, 200);
+    assert_eq!(exchange(daemon.address("http"), &job_request("log-lookup", "01", 5_000, "")).status, 200);
 }
 
 /// Discovery sends an unreadable change in which a log worker drains. The dispatcher must then ask for the complete list,
@@ -187,14 +187,14 @@
 #[test]
 fn unreadable_change_makes_the_dispatcher_fetch_the_complete_list() {
     let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
-    let discovery = Discovery::of(&[&draining, &other]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&draining, &other]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
     // The changes after the dispatcher's version are unreadable each time; the complete list is readable.
-    discovery.set_changes(Some("{\"rev\":2,\"all\":false,\"targets\":[{]}"));
-    discovery.set(vec![draining.entry("leaving"), other.entry("active")]);
+    discovery.set_resume_reply(Some("{\"rev\":2,\"all\":false,\"targets\":[{]}"));
+    discovery.set_list(vec![draining.entry("leaving"), other.entry("active")]);
     let announced = Instant::now();
-    discovery.say("{\"rev\":2,\"all\":false,\"targets\":[{]}");
+    discovery.send_line("{\"rev\":2,\"all\":false,\"targets\":[{]}");
     send_jobs_until(http, announced + DRAIN_GRACE);
     let before = draining.count();
     send_jobs_until(http, announced + DRAIN_GRACE + OBSERVATION);
@@ -207,20 +207,20 @@
 #[test]
 fn jobs_wait_when_neither_changes_nor_the_complete_list_can_be_read() {
     let worker = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&worker]);
-    let daemon = Daemon::over(&discovery);
+    let discovery = Discovery::listing(&[&worker]);
+    let daemon = Daemon::start_ready(&discovery);
     let http = daemon.address("http");
-    discovery.set_changes(Some("nonsense"));
-    discovery.set_text("nonsense");
+    discovery.set_resume_reply(Some("nonsense"));
+    discovery.set_list_text("nonsense");
     let announced = Instant::now();
-    discovery.say("nonsense");
+    discovery.send_line("nonsense");
     std::thread::sleep((announced + DRAIN_GRACE).saturating_duration_since(Instant::now()));
     let before = worker.count();
-    let waiting = send(http, &post("log-lookup", "0000000000000701", 9_000, ""));
+    let waiting = send(http, &job_request("log-lookup", "0000000000000701", 9_000, ""));
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(worker.count(), before, "a job was sent by the old list");
-    discovery.set_changes(None);
-    discovery.set(vec![worker.entry("active")]);
+    discovery.set_resume_reply(None);
+    discovery.set_list(vec![worker.entry("active")]);
     let answer = read_message(&mut BufReader::new(waiting)).expect("an answer");
     assert_eq!(answer.status, 200, "a waiting job is served once a list can be read again");
 }
@@ -262,8 +262,10 @@
     entries.push(worker.entry("active"));
     let list = complete_list(&entries).to_string() + "\n";
     let piece = list.len() / 40;
-    let daemon =
-        Daemon::start(&config(discovery_writing_in_pieces(list, piece, Duration::from_millis(100))), None);
+    let daemon = Daemon::start(
+        &platform_config(discovery_writing_in_pieces(list, piece, Duration::from_millis(100))),
+        None,
+    );
     let started = Instant::now();
     let http = daemon.address("http");
     while get(http, "/health/ready").status != 200 {
@@ -271,7 +273,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(started.elapsed() > Duration::from_secs(3), "the list was written too fast for this test");
-    assert_eq!(ask(http, &post("log-lookup", "01", 5_000, "")).status, 200);
+    assert_eq!(exchange(http, &job_request("log-lookup", "01", 5_000, "")).status, 200);
     daemon.wait_counters("http", &["lists=1", "lists_failed=0"]);
 }
 
@@ -279,8 +281,10 @@
 #[test]
 fn watch_that_writes_only_spaces_ends_as_a_silent_one() {
     let text = complete_list(&draining_entries(1)).to_string() + "\n" + &" ".repeat(1_000_000);
-    let daemon =
-        Daemon::start(&config(discovery_writing_in_pieces(text, 1_000, Duration::from_millis(20))), None);
+    let daemon = Daemon::start(
+        &platform_config(discovery_writing_in_pieces(text, 1_000, Duration::from_millis(20))),
+        None,
+    );
     daemon.wait_log("list update applied");
     let listed = Instant::now();
     daemon.wait_log("the watch was silent");
@@ -291,16 +295,17 @@
 #[test]
 fn pooled_connections_make_room_for_a_connection_to_another_log_worker() {
     let workers: Vec<Worker> = (0..60).map(|n| Worker::serving(&format!("w-{n}"))).collect();
-    let discovery = Discovery::of(&workers.iter().collect::<Vec<_>>());
-    let mut config = config(discovery.address);
+    let discovery = Discovery::listing(&workers.iter().collect::<Vec<_>>());
+    let mut config = platform_config(discovery.address);
     config["limits"]["sockets"] = 64.into();
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let http = daemon.address("http");
     for job in 0..400 {
-        let request = String::from_utf8(post("log-lookup", &format!("{job:016x}"), 9_000, "")).expect("text");
+        let request =
+            String::from_utf8(job_request("log-lookup", &format!("{job:016x}"), 9_000, "")).expect("text");
         let request = request.replace("station-1", &format!("station-{job}"));
-        assert_eq!(ask(http, request.as_bytes()).status, 200, "job {job}");
+        assert_eq!(exchange(http, request.as_bytes()).status, 200, "job {job}");
     }
     let used = workers.iter().filter(|worker| worker.count() > 0).count();
     assert!(used > 40, "{used} log workers were used");
@@ -320,9 +325,9 @@
     const SMALLEST_LIMIT_MB: u64 = 32;
     let worker = Worker::serving("w-1");
     for junk in ["7,".repeat(4_000_000), " ".repeat(12_000_000)] {
-        let discovery = Discovery::of(&[&worker]);
-        let daemon = Daemon::over(&discovery);
-        discovery.say(&format!("{{\"rev\":2,\"all\":false,\"targets\":[{junk}7]}}"));
+        let discovery = Discovery::listing(&[&worker]);
+        let daemon = Daemon::start_ready(&discovery);
+        discovery.send_line(&format!("{{\"rev\":2,\"all\":false,\"targets\":[{junk}7]}}"));
         wait_for("the list to be rejected", || {
             daemon.counters("http").contains(" lists_unusable=1 ").then_some(())
         });
--- a/crates/rookspoke/tests/leaving.rs
+++ b/crates/rookspoke/tests/leaving.rs
@@ -35,7 +35,7 @@
 impl Disconnect {
     /// Sends the further bytes well before the client disconnects, so that the daemon has read them by then.
     fn send_further(self, client: &mut TcpStream, id: &str) {
-        let further = post("log-lookup", &format!("f{}", &id[1..]), 9_000, "four");
+        let further = job_request("log-lookup", &format!("f{}", &id[1..]), 9_000, "four");
         let bytes = match self {
             Disconnect::Fin | Disconnect::Rst => Vec::new(),
             Disconnect::Pipelined => further,
@@ -58,7 +58,7 @@
     let connect = |number: usize| {
         let (how, id) =
             (ALL_DISCONNECTS[number % ALL_DISCONNECTS.len()], format!("{:016x}", 0xa000 + number));
-        let mut client = send(daemon.address("http"), &post(class, &id, 20_000, ""));
+        let mut client = send(daemon.address("http"), &job_request(class, &id, 20_000, ""));
         how.send_further(&mut client, &id);
         (how, client)
     };
@@ -70,13 +70,13 @@
 fn no_job_is_sent_whose_client_disconnected_while_it_waited_for_a_list() {
     let worker = Worker::serving("w-1");
     let discovery = Discovery::start(Vec::new());
-    let daemon = Daemon::over(&discovery);
+    let daemon = Daemon::start_ready(&discovery);
     let clients = connect_clients(&daemon, "log-lookup", 300);
-    let connected = send(daemon.address("http"), &post("log-lookup", "0000000000000001", 9_000, ""));
+    let connected = send(daemon.address("http"), &job_request("log-lookup", "0000000000000001", 9_000, ""));
     wait_for("all jobs to be taken", || daemon.counters("http").contains(" taken=301 ").then_some(()));
     clients.into_iter().for_each(|(how, client)| how.disconnect(client));
     std::thread::sleep(NOTICE_TIME);
-    discovery.change(worker.entry("active"));
+    discovery.send_change(worker.entry("active"));
     let answer = read_message(&mut std::io::BufReader::new(connected)).expect("an answer");
     assert_eq!(answer.status, 200);
     std::thread::sleep(Duration::from_millis(300));
@@ -95,20 +95,20 @@
         while !clients_gone.load(Ordering::SeqCst) {
             std::thread::sleep(poll_interval);
         }
-        objects(to, &[state(request, "returned")], true);
+        send_objects(to, &[state_report(request, "returned")], true);
         false
     });
     let second = Worker::serving("w-2");
     let discovery = Discovery::start(vec![first.entry("active")]);
     // Cancelling is not allowed, so the attempt goes on to its end.
-    let mut config = config(discovery.address);
+    let mut config = platform_config(discovery.address);
     config["settings"]["limits"]["cancel"] = false.into();
     config["settings"]["specifics"]["report_x0"] = json!("free_slots");
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let clients = connect_clients(&daemon, "log-lookup", 5);
     wait_for("the attempts", || (first.count() == 5).then_some(()));
-    discovery.change(second.entry("active"));
+    discovery.send_change(second.entry("active"));
     daemon.wait_counters("http", &["lists=2"]);
     clients.into_iter().for_each(|(how, client)| how.disconnect(client));
     std::thread::sleep(NOTICE_TIME);
@@ -123,7 +123,7 @@
 #[test]
 fn nothing_is_written_to_a_connection_established_after_the_client_disconnected() {
     for cancel in [true, false] {
-        let worker = Late::start("w-1");
+        let worker = LateWorker::start("w-1");
         let daemon = Daemon::start(&worker.config(cancel), None);
         daemon.wait_ready();
         for class in ["log-lookup", "qso-confirm"] {
@@ -134,7 +134,7 @@
         }
         daemon.wait_counters("http", &["taken=10", "client_gone=10", "sent=10"]);
         std::thread::sleep(NOTICE_TIME);
-        worker.opens();
+        worker.open();
         // Every attempt is accounted for, as cancelled or as never sent.
         let expected = if cancel { ["cancelled=10", "written=0"] } else { ["not_sent=10", "written=0"] };
         daemon.wait_counters("http", &expected);
@@ -150,16 +150,16 @@
 #[test]
 fn confirmation_is_cancelled_and_counted_when_its_client_disconnects() {
     let worker = Worker::start("w-1", |request, to| {
-        let stays_open = request.first.contains("qso-confirm");
-        objects(to, &[state(request, if stays_open { "started" } else { "done" })], !stays_open);
+        let stays_open = request.start_line.contains("qso-confirm");
+        send_objects(to, &[state_report(request, if stays_open { "started" } else { "done" })], !stays_open);
         !stays_open || !is_closed(to)
     });
-    let daemon = Daemon::over(&Discovery::of(&[&worker]));
+    let daemon = Daemon::start_ready(&Discovery::listing(&[&worker]));
     let clients = connect_clients(&daemon, "qso-confirm", 5);
     wait_for("the attempts", || (worker.count() == 5).then_some(()));
     clients.into_iter().for_each(|(how, client)| how.disconnect(client));
     let expected = ["taken=5", "client_gone=5", "cancelled=5", "written=5", "sent=5", "served=0", "failed=0"];
     daemon.wait_counters("http", &expected);
-    let next = ask(daemon.address("http"), &post("log-lookup", "0000000000000001", 5_000, ""));
+    let next = exchange(daemon.address("http"), &job_request("log-lookup", "0000000000000001", 5_000, ""));
     assert_eq!((next.status, worker.count()), (200, 6));
 }
--- a/crates/rookspoke/tests/list.rs
+++ b/crates/rookspoke/tests/list.rs
@@ -96,14 +96,14 @@
     let case = format!("{failure:?}, {}, {poll_interval_ms}", if pushed { "pushed" } else { "polled" });
     let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(listener.local_addr().expect("an address"));
+    let mut config = platform_config(listener.local_addr().expect("an address"));
     config["settings"]["rules"]["ask_every_ms"] = poll_interval_ms.into();
     config["settings"]["discovery"] = if pushed { "automatic" } else { "subscribe" }.into();
     let daemon = Daemon::start(&config, None);
     let watch = serve_list(&listener, &json!({"rev": 1, "all": true, "targets": [draining.entry("active")]}));
     daemon.wait_ready();
     let http = daemon.address("http");
-    let send_job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+    let send_job = |id: u32| send(http, &job_request("log-lookup", &format!("{id:016x}"), 9_000, ""));
     let status = |client: TcpStream| read_message(&mut BufReader::new(client)).map(|answer| answer.status);
     assert_eq!(status(send_job(1)), Some(200), "{case}");
     drop(watch);
@@ -152,18 +152,18 @@
 /// list's age.
 #[test]
 fn send_after_a_long_suspension_checks_the_age_of_the_list() {
-    let worker = Late::start("w-1");
+    let worker = LateWorker::start("w-1");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut config = config(listener.local_addr().expect("an address"));
+    let mut config = platform_config(listener.local_addr().expect("an address"));
     config["settings"]["limits"]["connect_timeout_ms"] = 20_000.0.into();
     let daemon = Daemon::start(&config, None);
     let _silent = serve_list(&listener, &json!({"rev": 1, "all": true, "targets": [worker.entry("active")]}));
     let last_message = Instant::now();
     daemon.wait_ready();
-    let client = send(daemon.address("http"), &post("log-lookup", "0000000000000401", 20_000, ""));
+    let client = send(daemon.address("http"), &job_request("log-lookup", "0000000000000401", 20_000, ""));
     wait_for("the attempt", || daemon.counters("http").contains(" sent=1 ").then_some(()));
     daemon.signal("STOP");
-    worker.opens();
+    worker.open();
     std::thread::sleep(Duration::from_millis(7_500).saturating_sub(last_message.elapsed()));
     daemon.signal("CONT");
     std::thread::sleep(Duration::from_millis(1_500));
@@ -180,13 +180,13 @@
         let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
         let listeners = [0, 1].map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
         let [old, new] = listeners;
-        let mut config = config(old.local_addr().expect("an address"));
+        let mut config = platform_config(old.local_addr().expect("an address"));
         config["settings"]["rules"]["ask_every_ms"] = 200_000.0.into();
         let daemon = Daemon::start(&config, None);
         let watch = serve_list(&old, &json!({"rev": 9, "all": true, "targets": [draining.entry("active")]}));
         daemon.wait_ready();
         let http = daemon.address("http");
-        let send_job = |id: u32| send(http, &post("log-lookup", &format!("{id:016x}"), 9_000, ""));
+        let send_job = |id: u32| send(http, &job_request("log-lookup", &format!("{id:016x}"), 9_000, ""));
         let status =
             |client: TcpStream| read_message(&mut BufReader::new(client)).map(|answer| answer.status);
         let mut watch = Some(watch);
@@ -195,7 +195,7 @@
             std::thread::sleep(Duration::from_millis(3_000));
         }
         config["discovery"] = new.local_addr().expect("an address").to_string().into();
-        daemon.replace(&config.to_string());
+        daemon.replace_platform_config(&config.to_string());
         daemon.signal("HUP");
         let reloaded = Instant::now();
         // Three of the six seconds are left if the watch ended before, and all four otherwise.
--- a/crates/rookspoke/tests/shutdown.rs
+++ b/crates/rookspoke/tests/shutdown.rs
@@ -115,8 +115,8 @@
             Workers::Hang => None,
         };
         let workers: Vec<Worker> = (0..6).map(|n| start_worker(&format!("w-{n}"), service_time)).collect();
-        let discovery = Discovery::of(&workers.iter().collect::<Vec<_>>());
-        let mut config = config(discovery.address);
+        let discovery = Discovery::listing(&workers.iter().collect::<Vec<_>>());
+        let mut config = platform_config(discovery.address);
         for class in config["settings"]["classes"].as_array_mut().expect("classes") {
             class["deadline_ms"] = (self.deadline.as_millis() as f64).into();
             class["goal_time_ms"] = class["deadline_ms"].clone();
@@ -208,7 +208,7 @@
 fn start_worker(uid: &str, service_time: Option<Duration>) -> Worker {
     Worker::start(uid, move |request, to| {
         let Some(service_time) = service_time else {
-            thread::sleep(PATIENCE);
+            thread::sleep(TEST_TIMEOUT);
             return false;
         };
         thread::sleep(service_time);
@@ -268,7 +268,7 @@
         } else {
             self.deadline.min(SHORT_CLIENT_DEADLINE)
         };
-        let text = post(class, &id, time_left.as_millis() as u32, "0123456789");
+        let text = job_request(class, &id, time_left.as_millis() as u32, "0123456789");
         (id, text)
     }
 
@@ -399,8 +399,8 @@
 #[test]
 fn no_connection_accepts_a_new_request_at_sigkill() {
     let worker = Worker::serving("w-1");
-    let discovery = Discovery::of(&[&worker]);
-    let mut config = config(discovery.address);
+    let discovery = Discovery::listing(&[&worker]);
+    let mut config = platform_config(discovery.address);
     let deadline = Duration::from_millis(700);
     for class in config["settings"]["classes"].as_array_mut().expect("classes") {
         class["deadline_ms"] = (deadline.as_millis() as f64).into();
@@ -409,7 +409,7 @@
     let daemon = Daemon::start(&config, None);
     daemon.wait_ready();
     let http = daemon.address("http");
-    let request = |id: u32| post("log-lookup", &format!("{id:016x}"), 700, "0123456789");
+    let request = |id: u32| job_request("log-lookup", &format!("{id:016x}"), 700, "0123456789");
     let used = |id: u32| {
         let mut connection = connect(http);
         connection.get_mut().write_all(&request(id)).expect("sent");
@@ -498,7 +498,7 @@
 
 #[test]
 fn randomized_shutdowns_lose_no_request() {
-    let seeds: Vec<u64> = soak::seeds_by_hand().unwrap_or(SEEDS).collect();
+    let seeds: Vec<u64> = soak::seeds_from_env().unwrap_or(SEEDS).collect();
     for seeds in seeds.chunks(PARALLEL_RUNS) {
         let started = seeds.iter().map(|seed| {
             let shutdown = generate(*seed);
--- a/crates/rookspoke/tests/soak.rs
+++ b/crates/rookspoke/tests/soak.rs
@@ -70,7 +70,7 @@
 
 #[test]
 fn randomized_fleets_keep_every_invariant() {
-    let chosen_seeds = soak::seeds_by_hand();
+    let chosen_seeds = soak::seeds_from_env();
     let sizes = if chosen_seeds.is_some() { SizeLimits::FULL } else { SizeLimits::SMALL };
     let mut failed = Vec::new();
     for seed in chosen_seeds.clone().unwrap_or(SEEDS) {
