--- a/crates/rookspoke/tests/deployment.rs
+++ b/crates/rookspoke/tests/deployment.rs
@@ -157,8 +157,8 @@
     daemon
 }
 
-/// The rack of a keyed job drains while its attempt is in progress. No other rack deduplicates a retry, so the job must fail at
-/// once rather than wait or be retried elsewhere.
+/// The rack of a keyed job drains while its attempt is in progress. No other rack deduplicates a retry, so the job must
+/// fail at once rather than wait or be retried elsewhere.
 #[test]
 fn keyed_job_fails_at_once_when_its_rack_drains() {
     let (break_connection, signal) = std::sync::mpsc::channel();
--- a/crates/rookspoke/tests/drawn_lists.rs
+++ b/crates/rookspoke/tests/drawn_lists.rs
@@ -1,5 +1,5 @@
-//! Randomized lists for fleets of 1 to 3,200 log workers, in every layout in which discovery may write them. The log workers'
-//! own records show whether a job was sent to one after its drain.
+//! Randomized lists for fleets of 1 to 3,200 log workers, in every layout in which discovery may write them. The log
+//! workers' own records show whether a job was sent to one after its drain.
 //!
 //! `ROOKSPOKE_SOAK_SEEDS=FROM..TO cargo test -p rookspoke --test drawn_lists -- --nocapture` runs other seeds.
 
--- a/crates/rookspoke/tests/ends.rs
+++ b/crates/rookspoke/tests/ends.rs
@@ -1,5 +1,5 @@
-//! Endings with something still pending: a connection closed with unread bytes, a shutdown with requests arriving, the end of
-//! a keyed class's deduplication window, an answer with data after its final object.
+//! Endings with something still pending: a connection closed with unread bytes, a shutdown with requests arriving, the
+//! end of a keyed class's deduplication window, an answer with data after its final object.
 
 mod common;
 
@@ -18,8 +18,8 @@
     client.into()
 }
 
-/// Closing a socket that has unread bytes resets it, and the reset can discard the last answer on its way. The client must
-/// read its answer and then the end of the stream, never a reset.
+/// Closing a socket that has unread bytes resets it, and the reset can discard the last answer on its way. The client
+/// must read its answer and then the end of the stream, never a reset.
 #[test]
 fn closing_with_unread_bytes_does_not_reset_the_last_answer() {
     let worker = Worker::serving_with("w-1", "x".repeat(60_000));
@@ -40,7 +40,8 @@
         // Most of a long answer is still in the daemon's send buffer when it shuts the connection down.
         let mut client = connect_with_small_buffer(http);
         client.write_all(&text).expect("sent");
-        // The answer is written and the connection shut down before the rest is sent, and all is sent before the client reads.
+        // The answer is written and the connection shut down before the rest is sent, and all is sent before the client
+        // reads.
         std::thread::sleep(Duration::from_millis(60));
         client.write_all(&unread).expect("sent");
         std::thread::sleep(Duration::from_millis(60));
@@ -75,8 +76,8 @@
     let slow = send(http, &job_request("log-lookup", "00000000000000ff", 5_000, ""));
     daemon.signal("TERM");
     let signalled = Instant::now();
-    // The process is suspended past the time at which it would close idle connections. When it resumes, both the requests
-    // and the expired close timer are waiting.
+    // The process is suspended past the time at which it would close idle connections. When it resumes, both the
+    // requests and the expired close timer are waiting.
     std::thread::sleep(Duration::from_millis(300));
     daemon.signal("STOP");
     let sends = |number: usize, client: &mut BufReader<TcpStream>| {
@@ -111,8 +112,8 @@
     drop(slow);
 }
 
-/// Two log workers of one rack drop duplicates for one second, and the first breaks off its answer. A retry may go to the
-/// second only inside that window, even if it was decided on in time and its connection is established late.
+/// Two log workers of one rack drop duplicates for one second, and the first breaks off its answer. A retry may go to
+/// the second only inside that window, even if it was decided on in time and its connection is established late.
 #[test]
 fn keyed_retry_is_written_inside_its_dedup_window_or_not_at_all() {
     let break_after = |ms: u64| {
@@ -165,9 +166,9 @@
     assert_eq!((status, second.count()), (500, 0), "decided on inside the window, sent outside");
 }
 
-/// A log worker may go on after the final object of its answer, with a second answer, a second final object or a flood of
-/// data, or may leave the answer unterminated. The client gets exactly one answer, and neither memory use nor the next job
-/// suffers.
+/// A log worker may go on after the final object of its answer, with a second answer, a second final object or a flood
+/// of data, or may leave the answer unterminated. The client gets exactly one answer, and neither memory use nor the
+/// next job suffers.
 #[test]
 fn data_after_the_final_object_of_an_answer_affects_neither_other_jobs_nor_memory() {
     for case in ["a second answer", "a second final object", "a flood", "silence"] {
@@ -195,7 +196,8 @@
             }
             true
         };
-        // A job that meets the rest of an earlier answer goes to another log worker, and no failure is counted against either.
+        // A job that meets the rest of an earlier answer goes to another log worker, and no failure is counted against
+        // either.
         let workers: Vec<Worker> = (1..=4).map(|n| Worker::start(&format!("w-{n}"), behaviour)).collect();
         let daemon = Daemon::start_ready(&Discovery::listing(&workers.iter().collect::<Vec<_>>()));
         let http = daemon.address("http");
@@ -211,8 +213,8 @@
     }
 }
 
-/// An answer may be cut at any byte. No client gets a wrong answer, and a job that may have run fails rather than being sent
-/// again.
+/// An answer may be cut at any byte. No client gets a wrong answer, and a job that may have run fails rather than being
+/// sent again.
 #[test]
 fn answer_cut_at_any_byte_is_not_delivered_and_not_retried() {
     let full_answer = {
@@ -280,8 +282,8 @@
     }
 }
 
-/// A second answer arrives milliseconds after the first, on a connection that is pooled by then, so the next job reads it.
-/// That counts as no failure of the log worker, and the next confirmation is sent over a new connection.
+/// A second answer arrives milliseconds after the first, on a connection that is pooled by then, so the next job reads
+/// it. That counts as no failure of the log worker, and the next confirmation is sent over a new connection.
 #[test]
 fn second_answer_read_by_the_next_job_is_no_failure_of_the_log_worker() {
     let is_first = std::sync::Mutex::new(true);
@@ -311,8 +313,8 @@
     assert_eq!((status("qso-confirm", 4), worker.connections.load(Ordering::SeqCst)), (200, connections + 1));
 }
 
-/// Clients that stop in the middle of a request and stay connected get an error or a close within 3 s, on new connections and
-/// on used ones.
+/// Clients that stop in the middle of a request and stay connected get an error or a close within 3 s, on new
+/// connections and on used ones.
 #[test]
 fn client_that_stops_within_a_request_is_disconnected_within_three_seconds() {
     let worker = Worker::serving("w-1");
--- a/crates/rookspoke/tests/faults.rs
+++ b/crates/rookspoke/tests/faults.rs
@@ -79,7 +79,8 @@
     assert!(served_count(&statuses) > 0, "{statuses:?}");
 }
 
-/// Connections with requests wait in the backlog when the shutdown closes the listener, and accepting them fails at first.
+/// Connections with requests wait in the backlog when the shutdown closes the listener, and accepting them fails at
+/// first.
 #[test]
 fn shutdown_accepts_the_backlog_although_accept_fails_at_first() {
     let worker = Worker::serving("w-1");
@@ -90,7 +91,8 @@
     daemon.signal("STOP");
     let backlog: Vec<TcpStream> =
         (1..=20).map(|id| send(http, &job_request("log-lookup", &format!("{id:016x}"), 2_000, ""))).collect();
-    // Longer than the time in which new connections are accepted, so the listener closes as soon as the process resumes.
+    // Longer than the time in which new connections are accepted, so the listener closes as soon as the process
+    // resumes.
     thread::sleep(Duration::from_millis(700));
     let before = daemon.injected_faults("accept ECONNABORTED") + daemon.injected_faults("accept ENFILE");
     daemon.signal("CONT");
@@ -103,7 +105,8 @@
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
 }
 
-/// A ban that was confirmed to an operator must survive SIGKILL although about half of the writes to the state folder fail.
+/// A ban that was confirmed to an operator must survive SIGKILL although about half of the writes to the state folder
+/// fail.
 #[test]
 fn confirmed_ban_survives_sigkill_while_writes_to_the_state_folder_fail() {
     let (banned, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
@@ -153,8 +156,8 @@
     }
 }
 
-/// With the daemon's wall clock an hour behind, the start time of a restarted log worker lies in the future. Its slow start must
-/// still end after the ramp time, not an hour later.
+/// With the daemon's wall clock an hour behind, the start time of a restarted log worker lies in the future. Its slow
+/// start must still end after the ramp time, not an hour later.
 #[test]
 fn slow_start_ends_after_the_ramp_although_the_wall_clock_is_an_hour_behind() {
     let worker = Worker::serving("w-1");
--- a/crates/rookspoke/tests/large_lists.rs
+++ b/crates/rookspoke/tests/large_lists.rs
@@ -182,8 +182,8 @@
     assert_eq!(exchange(daemon.address("http"), &job_request("log-lookup", "01", 5_000, "")).status, 200);
 }
 
-/// Discovery sends an unreadable change in which a log worker drains. The dispatcher must then ask for the complete list,
-/// which is readable.
+/// Discovery sends an unreadable change in which a log worker drains. The dispatcher must then ask for the complete
+/// list, which is readable.
 #[test]
 fn unreadable_change_makes_the_dispatcher_fetch_the_complete_list() {
     let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
@@ -202,8 +202,8 @@
     daemon.wait_counters("http", &["lists_unusable=1"]);
 }
 
-/// When neither changes nor the complete list can be read, jobs wait rather than go by the old list, which is known to have
-/// changed.
+/// When neither changes nor the complete list can be read, jobs wait rather than go by the old list, which is known to
+/// have changed.
 #[test]
 fn jobs_wait_when_neither_changes_nor_the_complete_list_can_be_read() {
     let worker = Worker::serving("w-1");
@@ -253,8 +253,8 @@
     address
 }
 
-/// An overloaded discovery writes only some hundred lines a second. A list that arrives that slowly must not be taken for a
-/// silent watch.
+/// An overloaded discovery writes only some hundred lines a second. A list that arrives that slowly must not be taken
+/// for a silent watch.
 #[test]
 fn list_that_takes_seconds_to_arrive_is_not_a_silent_watch() {
     let worker = Worker::serving("w-1");
--- a/crates/rookspoke/tests/leaving.rs
+++ b/crates/rookspoke/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Once a client has closed its connection, no call attempt for it begins more than 0.1 s later, whatever its job was waiting
-//! for. Attempts are counted by the stand-in log workers.
+//! Once a client has closed its connection, no call attempt for it begins more than 0.1 s later, whatever its job was
+//! waiting for. Attempts are counted by the stand-in log workers.
 
 mod common;
 
@@ -65,7 +65,8 @@
     (0..count).map(connect).collect()
 }
 
-/// Three hundred jobs wait for a list, and their clients disconnect at once. A list that arrives 0.1 s later must send none.
+/// Three hundred jobs wait for a list, and their clients disconnect at once. A list that arrives 0.1 s later must send
+/// none.
 #[test]
 fn no_job_is_sent_whose_client_disconnected_while_it_waited_for_a_list() {
     let worker = Worker::serving("w-1");
@@ -84,8 +85,8 @@
     daemon.wait_counters("http", &["taken=301", "client_gone=300", "sent=1"]);
 }
 
-/// The first log worker returns its jobs once their clients have disconnected. The second one is idle, and must get none of
-/// them.
+/// The first log worker returns its jobs once their clients have disconnected. The second one is idle, and must get
+/// none of them.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_disconnected_during_the_first() {
     let (disconnected, poll_interval) = (Arc::new(AtomicBool::new(false)), Duration::from_millis(20));
--- a/crates/rookspoke/tests/list.rs
+++ b/crates/rookspoke/tests/list.rs
@@ -1,5 +1,5 @@
-//! How long a list stays in effect while discovery is up but its calls fail: six seconds after the last message of the watch,
-//! and no longer, in whatever way the calls fail.
+//! How long a list stays in effect while discovery is up but its calls fail: six seconds after the last message of the
+//! watch, and no longer, in whatever way the calls fail.
 
 mod common;
 
@@ -89,9 +89,9 @@
     }
 }
 
-/// The watch ends and every further call fails, so the dispatcher misses that its log worker drains. Until 6 s after the end
-/// of the watch it may send jobs by the old list, and does. After that a job waits for the next list and is served in time
-/// by the log worker named there.
+/// The watch ends and every further call fails, so the dispatcher misses that its log worker drains. Until 6 s after
+/// the end of the watch it may send jobs by the old list, and does. After that a job waits for the next list and is
+/// served in time by the log worker named there.
 fn check_list_expiry(failure: CallFailure, pushed: bool, poll_interval_ms: f64) {
     let case = format!("{failure:?}, {}, {poll_interval_ms}", if pushed { "pushed" } else { "polled" });
     let (draining, other) = (Worker::serving("w-1"), Worker::serving("w-2"));
@@ -110,7 +110,8 @@
     let watch_ended = Instant::now();
     let at = move |ms: u64| watch_ended + Duration::from_millis(ms);
     let failing = std::thread::spawn(move || fail_calls_until(listener, failure, at(7_200)));
-    // With a poll interval over 6 s the list stays in effect for the whole 6 s, so jobs are still served shortly before that.
+    // With a poll interval over 6 s the list stays in effect for the whole 6 s, so jobs are still served shortly before
+    // that.
     if poll_interval_ms > 6_000.0 {
         std::thread::sleep(at(4_500).saturating_duration_since(Instant::now()));
         assert_eq!(
@@ -148,8 +149,8 @@
 }
 
 /// The process is suspended while its watch is silent and a call attempt waits for a connection. When it resumes, the
-/// connection is up and the send is due before the timer that expires the list has fired, so the send itself must check the
-/// list's age.
+/// connection is up and the send is due before the timer that expires the list has fired, so the send itself must check
+/// the list's age.
 #[test]
 fn send_after_a_long_suspension_checks_the_age_of_the_list() {
     let worker = LateWorker::start("w-1");
@@ -172,8 +173,8 @@
     drop(client);
 }
 
-/// After SIGHUP names another discovery, the old list stays in effect for 4 s at most, even if every call to the new one
-/// fails. If the old watch had ended before, the remainder of its six seconds still applies.
+/// After SIGHUP names another discovery, the old list stays in effect for 4 s at most, even if every call to the new
+/// one fails. If the old watch had ended before, the remainder of its six seconds still applies.
 #[test]
 fn sighup_to_another_discovery_keeps_the_old_list_for_four_seconds_at_most() {
     let run = |watch_ended_before: bool| {
--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -1,5 +1,5 @@
-//! Several real dispatchers with injected failures, started by the rig, and the invariants that must hold for their clients and
-//! log workers.
+//! Several real dispatchers with injected failures, started by the rig, and the invariants that must hold for their
+//! clients and log workers.
 
 use std::future::Future;
 use std::io::{BufRead, BufReader};
@@ -225,8 +225,8 @@
     });
 }
 
-/// No dispatcher can keep the invariants over links that hold requests past a drain or lose answers, so violations must be
-/// reported.
+/// No dispatcher can keep the invariants over links that hold requests past a drain or lose answers, so violations must
+/// be reported.
 #[test]
 fn violations_caused_by_faulty_links_are_reported() {
     run_multi_threaded(async {
@@ -243,8 +243,8 @@
     });
 }
 
-/// While it is suspended, jobs arrive and then the notice of a drain. When it resumes, it must not send the jobs to the draining
-/// log worker.
+/// While it is suspended, jobs arrive and then the notice of a drain. When it resumes, it must not send the jobs to the
+/// draining log worker.
 #[test]
 fn dispatcher_suspended_for_five_seconds_sends_nothing_late_and_nothing_twice() {
     run_multi_threaded(async {
@@ -268,7 +268,8 @@
     });
 }
 
-/// Requests arrive at a log worker but its answers are lost. Unsafe jobs must run once, and each client must get an answer.
+/// Requests arrive at a log worker but its answers are lost. Unsafe jobs must run once, and each client must get an
+/// answer.
 #[test]
 fn link_that_loses_only_answers_causes_no_retry_of_unsafe_jobs() {
     run_multi_threaded(async {
@@ -291,8 +292,8 @@
     });
 }
 
-/// Calls hang and watches are silent, then discovery serves an old list. Jobs sent to log workers that are gone by then must
-/// return unharmed, and the updates that did arrive must be in effect.
+/// Calls hang and watches are silent, then discovery serves an old list. Jobs sent to log workers that are gone by then
+/// must return unharmed, and the updates that did arrive must be in effect.
 #[test]
 fn silent_discovery_and_old_lists_violate_nothing() {
     run_multi_threaded(async {
@@ -306,8 +307,9 @@
     });
 }
 
-/// All watches fall silent for 11 s, and a third of the log workers begin to drain right after but stay up. A missed drain
-/// counts as announced after 6 s, so from then on no dispatcher may send a job to any log worker until a list arrives.
+/// All watches fall silent for 11 s, and a third of the log workers begin to drain right after but stay up. A missed
+/// drain counts as announced after 6 s, so from then on no dispatcher may send a job to any log worker until a list
+/// arrives.
 #[test]
 fn all_dispatchers_respect_drains_missed_by_silent_watches() {
     run_multi_threaded(async {
@@ -327,8 +329,8 @@
     });
 }
 
-/// A dispatcher is killed while one client has sent half of a body and a complete request is crossing a slow link. Neither job may
-/// have run.
+/// A dispatcher is killed while one client has sent half of a body and a complete request is crossing a slow link.
+/// Neither job may have run.
 #[test]
 fn job_whose_body_is_incomplete_when_its_dispatcher_is_killed_does_not_run() {
     run_multi_threaded(async {
@@ -348,17 +350,20 @@
         };
         let facts = r#"{"slots":1,"work":0.1,"key":1,"worth":1}"#;
         let address = rig.dispatchers[0].client_address().expect("it is up");
-        let mut half = TcpStream::connect(address).await.expect("a connection");
-        half.write_all(format!("{}{}", head(1, facts.len()), &facts[..9]).as_bytes()).await.expect("sent");
-        let mut whole = TcpStream::connect(address).await.expect("a connection");
-        whole.write_all(format!("{}{facts}", head(2, facts.len())).as_bytes()).await.expect("sent");
+        let mut incomplete = TcpStream::connect(address).await.expect("a connection");
+        incomplete
+            .write_all(format!("{}{}", head(1, facts.len()), &facts[..9]).as_bytes())
+            .await
+            .expect("sent");
+        let mut complete = TcpStream::connect(address).await.expect("a connection");
+        complete.write_all(format!("{}{facts}", head(2, facts.len())).as_bytes()).await.expect("sent");
         // Long enough for part of the request to have left the dispatcher, and far too short for all of it.
         tokio::time::sleep(Duration::from_millis(600)).await;
         rig.kill_dispatcher(0).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(rig.event_log.count(|entry| matches!(entry, Event::Reached { .. })), 0);
         assert_eq!(
-            half.read(&mut [0; 16]).await.unwrap_or(0),
+            incomplete.read(&mut [0; 16]).await.unwrap_or(0),
             0,
             "the client must see the end of its connection"
         );
@@ -384,8 +389,8 @@
     });
 }
 
-/// Clients keep using their connections while one log worker hangs. Each process must exit by itself with all of its requests
-/// answered, and its successor must serve.
+/// Clients keep using their connections while one log worker hangs. Each process must exit by itself with all of its
+/// requests answered, and its successor must serve.
 #[test]
 fn rolling_restart_loses_no_request_and_every_process_exits_by_itself() {
     run_multi_threaded(async {
@@ -452,7 +457,8 @@
     });
 }
 
-/// Combines crashes, restarts, slow log workers, a cut between zones, absent discovery, kills, resets, a stall and a slow link.
+/// Combines crashes, restarts, slow log workers, a cut between zones, absent discovery, kills, resets, a stall and a
+/// slow link.
 #[test]
 fn overlapping_incidents_violate_nothing() {
     run_multi_threaded(async {
--- a/crates/rookspoke/tests/scarce.rs
+++ b/crates/rookspoke/tests/scarce.rs
@@ -1,5 +1,5 @@
-//! Scarce resources under load: descriptors, while discovery is down and idle clients hold connections, and discovery itself,
-//! when most of a fleet restarts at once.
+//! Scarce resources under load: descriptors, while discovery is down and idle clients hold connections, and discovery
+//! itself, when most of a fleet restarts at once.
 
 mod common;
 
@@ -25,7 +25,8 @@
     Daemon::spawn((command, folder))
 }
 
-/// Idle clients, half of which have sent a health check, hold 60% of the sockets while discovery is down; then discovery returns.
+/// Idle clients, half of which have sent a health check, hold 60% of the sockets while discovery is down; then
+/// discovery returns.
 fn serves_beside_idle_clients(sockets: usize, descriptors: usize) {
     let worker = Worker::start("w-1", |request, to| {
         if request.text() == "slow" {
@@ -98,8 +99,8 @@
     assert!(runs.into_iter().all(|run| run.join().is_ok()));
 }
 
-/// More clients connect at once than the listener accepts in one turn, while the process is suspended. The system must queue
-/// them all, since a client whose packet it drops tries again only after a second or more.
+/// More clients connect at once than the listener accepts in one turn, while the process is suspended. The system must
+/// queue them all, since a client whose packet it drops tries again only after a second or more.
 #[test]
 fn connection_burst_is_queued_while_the_process_is_suspended() {
     let worker = Worker::serving("w-1");
@@ -108,8 +109,8 @@
     let http = daemon.address("http");
     daemon.wait_ready();
     daemon.signal("STOP");
-    // The result does not depend on the load, since a connection that the system dropped is not accepted until the process
-    // resumes.
+    // The result does not depend on the load, since a connection that the system dropped is not accepted until the
+    // process resumes.
     let within = Duration::from_secs(3);
     let mut burst: Vec<TcpStream> =
         (0..400).map_while(|_| TcpStream::connect_timeout(&http, within).ok()).collect();
@@ -133,7 +134,8 @@
     (fields[11] + fields[12]) / 100.0
 }
 
-/// The system gives fewer descriptors than the settings promise, so `accept` fails. The listener must neither spin nor stop.
+/// The system gives fewer descriptors than the settings promise, so `accept` fails. The listener must neither spin nor
+/// stop.
 #[test]
 fn failing_accept_neither_spins_nor_stops_the_listener() {
     let worker = Worker::serving("w-1");
@@ -153,8 +155,8 @@
     assert!(daemon.log().iter().filter(|line| line.contains("accept: ")).count() < 400);
 }
 
-/// A discovery that handles calls one after another, `service_time` each, and answers 503 to calls that waited for over two
-/// seconds. Returns its address and the number of those calls.
+/// A discovery that handles calls one after another, `service_time` each, and answers 503 to calls that waited for over
+/// two seconds. Returns its address and the number of those calls.
 fn overloaded_discovery(
     entries: Vec<serde_json::Value>,
     service_time: Duration,
@@ -188,8 +190,8 @@
     (address, late_calls)
 }
 
-/// Twenty-eight dispatchers of forty start at once, half of them with a known list and half with none, and discovery answers
-/// ten calls a second, so at most twenty within the two seconds that a call may wait.
+/// Twenty-eight dispatchers of forty start at once, half of them with a known list and half with none, and discovery
+/// answers ten calls a second, so at most twenty within the two seconds that a call may wait.
 #[test]
 fn nine_in_ten_restarted_dispatchers_are_ready_within_ten_seconds() {
     let worker = Worker::serving("w-1");
--- a/crates/rookspoke/tests/shutdown.rs
+++ b/crates/rookspoke/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown with SIGKILL at the earliest moment that the platform allows: 0.7 s plus the longest deadline, of which
-//! at most 3 s are counted, after SIGTERM. Until then clients use every connection that stays open.
+//! Graceful shutdown with SIGKILL at the earliest moment that the platform allows: 0.7 s plus the longest deadline, of
+//! which at most 3 s are counted, after SIGTERM. Until then clients use every connection that stays open.
 
 mod common;
 
@@ -18,7 +18,8 @@
 
 /// The platform counts at most this much of the longest deadline.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time from the counted deadline to SIGKILL. A request sent within this time after SIGTERM may still be open at SIGKILL.
+/// Time from the counted deadline to SIGKILL. A request sent within this time after SIGTERM may still be open at
+/// SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// New connections are accepted for this long after SIGTERM.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(400);
@@ -171,11 +172,11 @@
             return None;
         }
         assert!(sent.iter().filter(|sent| sent.sent_at > term).count() > 0, "nothing was sent after SIGTERM");
-        let seen: BTreeSet<String> = workers.iter().flat_map(Worker::ids).collect();
+        let received_ids: BTreeSet<String> = workers.iter().flat_map(Worker::ids).collect();
         let log = daemon.log().join("\n");
         let lost = sent.iter().filter(|sent| {
             let read = log.contains(&format!("id=\"{}\"", sent.id));
-            let accepted = seen.contains(&sent.id) || read || sent.finished_at >= kill;
+            let accepted = received_ids.contains(&sent.id) || read || sent.finished_at >= kill;
             let exempt = sent.sent_at <= term + KILL_MARGIN && sent.finished_at >= kill;
             sent.status.is_none() && accepted && !exempt
         });
@@ -343,8 +344,8 @@
     run_in_parallel(cases.collect());
 }
 
-/// Covers first requests on connections that were accepted late, and requests whose last bytes arrive at any moment of the
-/// shutdown.
+/// Covers first requests on connections that were accepted late, and requests whose last bytes arrive at any moment of
+/// the shutdown.
 #[test]
 fn shutdown_loses_no_request_that_becomes_complete_at_any_moment_of_it() {
     let cases = [200, 700, 1_200, 3_000].into_iter().flat_map(|ms| {
--- a/crates/rookspoke/tests/soak.rs
+++ b/crates/rookspoke/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Randomized fleets: real dispatchers with failing system calls, log workers that drain, fall silent and come back, and a
-//! discovery that fails. All invariants are checked from outside the dispatchers.
+//! Randomized fleets: real dispatchers with failing system calls, log workers that drain, fall silent and come back,
+//! and a discovery that fails. All invariants are checked from outside the dispatchers.
 //!
 //! `ROOKSPOKE_SOAK_SEEDS=FROM..TO cargo test -p rookspoke --test soak -- --nocapture` runs other seeds in full size.
 
