--- a/crates/rookspoke/tests/rehearsal.rs
+++ b/crates/rookspoke/tests/rehearsal.rs
@@ -243,7 +243,7 @@
     });
 }
 
-/// While it is suspended, jobs arrive and then the notice of a drain. When it resumes, it must not send the jobs to the
+/// Jobs and then the notice of a drain arrive while a dispatcher is suspended. When it resumes, it must not send them to the
 /// draining log worker.
 #[test]
 fn dispatcher_suspended_for_five_seconds_sends_nothing_late_and_nothing_twice() {
