--- a/crates/rookspoke/tests/plugin.rs
+++ b/crates/rookspoke/tests/plugin.rs
@@ -1,4 +1,4 @@
-//! The plug-in in process: an RPC client (tonic's) over the channel, without a daemon between.
+//! The dispatcher as a library: tonic's RPC client calls log workers through an in-process channel, without a daemon.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 use tonic::{Code, Request, Status};
 
-/// Messages of plain text.
+/// A tonic codec for plain text messages.
 #[derive(Default)]
 struct Text;
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// One unary call through a channel over a log worker that behaves like this.
+/// Makes one unary call through a channel whose only log worker has this behaviour.
 fn call(behaviour: &'static Behaviour) -> (Result<String, Code>, Worker) {
     let worker = Worker::start("w-1", move |request, to| behaviour(request, to));
     let discovery = Discovery::listing(&[&worker]);
@@ -79,16 +79,17 @@
         true
     });
     assert_eq!(answer, Ok("it is".into()));
-    let seen = worker.requests.lock().expect("requests")[0].clone();
+    let received = worker.requests.lock().expect("requests")[0].clone();
     assert_eq!(
-        (seen.start_line.as_str(), &seen.body[..]),
+        (received.start_line.as_str(), &received.body[..]),
         ("POST /qso-confirm/station-1 HTTP/1.1", &b"who?"[..])
     );
 }
 
-/// A dropped future is a client that left: nothing begins for it, though its attempt was on the way to a connection.
+/// Dropping the future of a call means that the client has left: its attempt, which is still connecting, must not be
+/// written when the connection is established.
 #[test]
-fn a_call_that_is_dropped_is_sent_no_more() {
+fn a_call_dropped_while_connecting_is_never_sent() {
     for cancel in [true, false] {
         let worker = LateWorker::start("w-1");
         let config = Config::read(&worker.config(cancel).to_string()).expect("a configuration");
@@ -115,9 +116,9 @@
     }
 }
 
-/// Only what never ran is `Unavailable`, which clients may try again.
+/// Clients may retry on `Unavailable`, so only a call that never ran gets that status.
 #[test]
-fn a_refusal_is_unavailable_and_a_failure_is_not() {
+fn a_refused_call_is_unavailable_and_a_failed_one_is_not() {
     let (refused, _) = call(&|_, to| {
         let text = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         to.write_all(text.as_bytes()).is_ok()
