--- a/crates/rookspoke/tests/faktory.rs
+++ b/crates/rookspoke/tests/faktory.rs
@@ -1,24 +1,24 @@
-//! The Faktory front, between a stand-in producer and stand-in consumers: every job counted exactly once.
+//! The Faktory front, with stand-in producers and consumers. Every job is counted exactly once.
 
 mod common;
 
 use common::faktory::*;
 use common::world::*;
 
-/// Starts FETCH on a consumer, so that it is listed, and returns once it waits.
-fn waiting(daemon: &Daemon, wid: &str) -> Peer {
+/// Connects a consumer and sends FETCH; returns once the daemon lists the consumer as waiting for a job.
+fn fetching_consumer(daemon: &Daemon, wid: &str) -> Peer {
     let to = daemon.address("faktory");
     let mut consumer = Peer::consumer(to, wid);
     consumer.send("FETCH default");
-    let mut looker = Peer::producer(to);
-    wait_for("the consumer", || looker.info()["listed"].as_array()?.iter().any(|w| w == wid).then_some(()));
+    let mut observer = Peer::producer(to);
+    wait_for("the consumer", || observer.info()["listed"].as_array()?.iter().any(|w| w == wid).then_some(()));
     consumer
 }
 
 #[test]
-fn a_job_goes_from_a_producer_to_a_consumer_as_it_came() {
+fn a_job_is_handed_to_a_consumer_unchanged() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let text =
         r#"{"jid":"job-00000001","jobtype":"qso-confirm",  "args":[1,"two"],"custom":{"key":"HA5XX"}}"#;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_answered_with_an_error_and_counted() {
+fn malformed_and_unsupported_commands_get_an_error_and_are_counted() {
     let daemon = start_daemon(FRONT_ENABLED);
     let to = daemon.address("faktory");
     let mut producer = Peer::producer(to);
@@ -59,9 +59,9 @@
     -ERR malformed ACK: invalid type: integer `7`, expected an object with `jid` at line 1 column 1
     -ERR a command is longer than 65536 bytes
     "#);
-    let mut rude = Peer::connect(to);
-    rude.reply();
-    assert_eq!(rude.call("PUSH {}"), "-ERR expected HELLO with v 2 as the first command");
+    let mut without_hello = Peer::connect(to);
+    without_hello.reply();
+    assert_eq!(without_hello.call("PUSH {}"), "-ERR expected HELLO with v 2 as the first command");
     daemon.wait_counters("faktory", &["taken=0", "turned_down=1", "malformed=7"]);
 }
 
@@ -72,49 +72,50 @@
     let mut job = job("job-00000001", "qso-confirm");
     job["custom"] = serde_json::json!({"time_left_ms": 200});
     assert!(producer.push(&job).starts_with("-ERR unavailable"));
-    // What was refused may be pushed again.
+    // A refused job may be pushed again.
     assert!(producer.push(&job).starts_with("-ERR unavailable"));
     daemon.wait_counters("faktory", &["taken=2", "refused=2", "sent=0"]);
 }
 
-/// The hard case: nobody can tell whether the job ran, so nobody else may get it.
-/// Its job has not been accepted, so it may push it again elsewhere: what comes behind the push hides nothing.
+/// A producer that has left before the reply does not know that its job was accepted and may push it elsewhere, so no
+/// consumer may get it. The daemon must notice this even if other bytes follow the PUSH.
 #[test]
-fn a_job_whose_producer_left_before_its_reply_is_handed_to_nobody() {
+fn a_job_whose_producer_left_before_its_reply_is_not_handed_out() {
     let daemon = start_daemon(FRONT_ENABLED);
     let at = daemon.address("faktory");
-    for (number, behind) in ["", "INFO", "INF", "INFO\r\nINFO"].iter().enumerate() {
-        let mut leaves = Peer::producer(at);
-        leaves.send(&format!("PUSH {}", job(&format!("job-gone-{number}"), "log-lookup")));
+    for (number, trailing) in ["", "INFO", "INF", "INFO\r\nINFO"].iter().enumerate() {
+        let mut leaving = Peer::producer(at);
+        leaving.send(&format!("PUSH {}", job(&format!("job-gone-{number}"), "log-lookup")));
         wait_for("the push", || {
             daemon.counters("faktory").contains(&format!(" taken={} ", number + 1)).then_some(())
         });
-        leaves.send_and_close(behind);
+        leaving.send_and_close(trailing);
     }
     daemon.wait_counters("faktory", &["taken=4", "client_gone=4", "sent=0"]);
     let mut consumer = Peer::consumer(at, "c-1");
     assert_eq!(consumer.call("FETCH default"), "nil", "handed out for a producer that had left");
-    let mut stays = Peer::producer(at);
-    assert_eq!(stays.push(&job("job-stays", "log-lookup")), "+OK");
+    let mut staying = Peer::producer(at);
+    assert_eq!(staying.push(&job("job-stays", "log-lookup")), "+OK");
     consumer.send("FETCH default");
     assert_eq!(consumer.fetch_pending()["jid"], "job-stays");
     assert_eq!(consumer.ack("job-stays"), "+OK");
     daemon.wait_counters("faktory", &["taken=5", "client_gone=4", "served=1"]);
 }
 
+/// Nobody can tell whether the job ran, so no other consumer may get it.
 #[test]
 fn a_confirmation_whose_consumer_disconnects_is_failed_and_never_handed_out_again() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut first = waiting(&daemon, "c-1");
+    let mut first = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let pushed = job("job-00000001", "qso-confirm");
     assert_eq!(producer.push(&pushed), "+OK");
     assert_eq!(first.reply(), pushed.to_string());
-    let mut second = waiting(&daemon, "c-2");
+    let mut second = fetching_consumer(&daemon, "c-2");
     drop(first);
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "served=0", "refused=0", "sent=1"]);
     assert_eq!(second.reply(), "nil");
-    // The late report is answered, and changes nothing; nor may the job come in again.
+    // The late report is answered and changes nothing, and the same job cannot be pushed again.
     assert_eq!(second.ack("job-00000001"), "+OK");
     assert_eq!(producer.push(&pushed), "-ERR job job-00000001 was pushed before");
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "served=0", "late_reports=1", "turned_down=1"]);
@@ -123,11 +124,11 @@
 #[test]
 fn a_lookup_whose_consumer_disconnects_goes_to_another() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut first = waiting(&daemon, "c-1");
+    let mut first = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "log-lookup")), "+OK");
     assert_eq!(first.fetch_pending()["jid"], "job-00000001");
-    let mut second = waiting(&daemon, "c-2");
+    let mut second = fetching_consumer(&daemon, "c-2");
     drop(first);
     assert_eq!(second.fetch_pending()["jid"], "job-00000001");
     assert_eq!(second.ack("job-00000001"), "+OK");
@@ -136,9 +137,9 @@
 
 /// A reservation belongs to the job's id, not to the connection that fetched it.
 #[test]
-fn an_ack_over_another_connection_of_the_consumer_counts() {
+fn an_ack_over_another_connection_of_the_consumer_is_accepted() {
     let daemon = start_daemon("faktory {\n listen 127.0.0.1:0\n reconnect 1min\n}\n");
-    let mut first = waiting(&daemon, "c-1");
+    let mut first = fetching_consumer(&daemon, "c-1");
     let to = daemon.address("faktory");
     assert_eq!(Peer::producer(to).push(&job("job-00000001", "qso-confirm")), "+OK");
     assert_eq!(first.fetch_pending()["jid"], "job-00000001");
@@ -147,17 +148,17 @@
     daemon.wait_counters("faktory", &["taken=1", "served=1", "failed=0", "late_reports=0"]);
 }
 
-/// The other hard case: a FAIL may come of a job that finished, so it is not handed out again either.
+/// A consumer may report FAIL for a job that did run, so a failed confirmation is not handed out again.
 #[test]
 fn a_confirmation_reported_failed_is_not_run_again_and_the_first_report_wins() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut first = waiting(&daemon, "c-1");
-    let mut second = waiting(&daemon, "c-2");
+    let mut first = fetching_consumer(&daemon, "c-1");
+    let mut second = fetching_consumer(&daemon, "c-2");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
-    // Whichever consumer the decisions chose.
+    // Either consumer may have been chosen.
     let (one, two) = (first.reply(), second.reply());
-    assert!((one == "nil") != (two == "nil"), "handed out once: {one} {two}");
+    assert!((one == "nil") != (two == "nil"), "expected the job in exactly one reply, found {one} and {two}");
     assert_eq!(first.fail("job-00000001"), "+OK");
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "sent=1"]);
     assert_eq!(first.ack("job-00000001"), "+OK");
@@ -167,9 +168,9 @@
 }
 
 #[test]
-fn a_second_ack_and_a_late_fail_are_answered_and_counted_apart() {
+fn a_second_ack_and_a_late_fail_are_answered_and_counted_as_late_reports() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
     assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
@@ -178,32 +179,32 @@
     daemon.wait_counters("faktory", &["taken=1", "served=1", "failed=0", "late_reports=2"]);
 }
 
-/// Rule 3: a consumer that drains gets nothing new, not even what was offered to it before.
+/// Rule 3: a draining consumer gets no new jobs, not even one that was offered to it before.
 #[test]
-fn a_draining_consumer_gets_nothing_new() {
+fn a_draining_consumer_gets_no_new_jobs() {
     let daemon = start_daemon(FRONT_ENABLED);
     let to = daemon.address("faktory");
-    let mut quiet = waiting(&daemon, "c-1");
-    // A second connection of the consumer says so while the first still waits.
+    let mut draining = fetching_consumer(&daemon, "c-1");
+    // The consumer reports the state `quiet` over a second connection while a FETCH waits on the first.
     assert_eq!(Peer::consumer(to, "c-1").beat("c-1", "quiet"), "+OK");
-    assert_eq!(quiet.reply(), "nil");
+    assert_eq!(draining.reply(), "nil");
     let mut producer = Peer::producer(to);
-    let mut other = waiting(&daemon, "c-2");
+    let mut other = fetching_consumer(&daemon, "c-2");
     for at in 0..5 {
         let jid = format!("job-{at:08}");
         assert_eq!(producer.push(&job(&jid, "qso-confirm")), "+OK");
         assert_eq!(other.fetch_pending()["jid"], jid);
         assert_eq!(other.ack(&jid), "+OK");
         other.send("FETCH default");
-        assert_eq!(quiet.call("FETCH default"), "nil");
+        assert_eq!(draining.call("FETCH default"), "nil");
     }
     daemon.wait_counters("faktory", &["taken=5", "served=5", "sent=5"]);
 }
 
 #[test]
-fn a_job_not_done_by_its_deadline_fails_once() {
+fn a_job_not_reported_by_its_deadline_is_failed_once() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let mut job = job("job-00000001", "qso-confirm");
     job["custom"] = serde_json::json!({"time_left_ms": 400});
@@ -214,10 +215,11 @@
     daemon.wait_counters("faktory", &["taken=1", "failed=1", "served=0", "late_reports=1"]);
 }
 
+/// A job whose reservation expires may have run, so it is failed and not handed out again.
 #[test]
-fn a_reservation_that_runs_out_may_have_run() {
+fn a_confirmation_whose_reservation_expires_is_failed() {
     let daemon = start_daemon(FRONT_ENABLED);
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     let mut job = job("job-00000001", "qso-confirm");
     job["reserve_for"] = 0.into();
@@ -227,9 +229,9 @@
 }
 
 #[test]
-fn told_to_end_it_hands_out_what_it_took_and_takes_nothing_new() {
+fn on_sigterm_accepted_jobs_are_finished_and_new_ones_refused() {
     let mut daemon = start_daemon(FRONT_ENABLED);
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
     assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
@@ -242,15 +244,15 @@
     assert!(daemon.wait_log("faktory counters at exit").contains("taken=1 "));
 }
 
-/// Who waits for a job when the last one is reported hears that there is none, and no reset.
+/// Consumers that wait for a job when the last one is reported get the reply that there is none, not a reset.
 #[test]
-fn told_to_end_it_answers_every_command_that_it_has_read() {
+fn on_sigterm_every_command_that_was_read_is_answered() {
     let mut daemon = start_daemon(FRONT_ENABLED);
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
     assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
-    let mut others: Vec<Peer> = (2..12).map(|n| waiting(&daemon, &format!("c-{n}"))).collect();
+    let mut others: Vec<Peer> = (2..12).map(|n| fetching_consumer(&daemon, &format!("c-{n}"))).collect();
     daemon.signal("TERM");
     wait_for("a refusal", || {
         producer.push(&job("job-00000002", "no-such")).contains("shutting down").then_some(())
@@ -258,33 +260,37 @@
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     for other in &mut others {
         assert_eq!(other.reply(), "nil");
-        assert_eq!(other.reply(), "", "the connection ends");
+        assert_eq!(other.reply(), "", "the connection is closed after its last reply");
     }
     assert!(daemon.wait_exit().success());
 }
 
-/// Connections that never say HELLO once held every place for as long as they liked to come back.
+/// Connections that never send HELLO could once occupy the whole capacity indefinitely, by connecting again and again.
 #[test]
-fn silent_crowds_make_way_for_producers_and_consumers() {
+fn connections_without_hello_are_closed_for_producers_and_consumers() {
     let daemon = start_daemon("faktory {\n listen 127.0.0.1:0\n connections 4\n}\n");
     let at = daemon.address("faktory");
     let mut consumer = Peer::consumer(at, "w-1");
     let silent: Vec<Peer> = (0..20).map(|_| Peer::connect(at)).collect();
     let mut producers: Vec<Peer> = (0..6).map(|_| Peer::producer(at)).collect();
     assert!(producers.last_mut().expect("one").call("INFO").contains("faktory_version"));
-    assert!(consumer.call("BEAT {\"wid\":\"w-1\"}").starts_with("+OK"), "nobody makes a consumer leave");
+    assert!(
+        consumer.call("BEAT {\"wid\":\"w-1\"}").starts_with("+OK"),
+        "a consumer's connection is not closed for others"
+    );
     drop(silent);
 }
 
-/// Operators' bans hold on every front: what was only offered goes to another, what is held may be reported.
+/// An operator's ban holds on every front: a job that was only offered to the banned consumer goes to another one, and
+/// the consumer may still report a job that it holds.
 #[test]
-fn a_consumer_out_by_hand_is_handed_nothing_until_it_is_put_back() {
+fn a_banned_consumer_gets_no_job_until_the_ban_is_lifted() {
     let mut settings = platform_config("127.0.0.1:9".parse().expect("an address"));
     settings["console"] = "127.0.0.1:0".into();
     let (mut command, folder) = Daemon::command(&settings, Some(FRONT_ENABLED));
     command.env("TMPDIR", folder.path());
     let daemon = Daemon::spawn((command, folder));
-    let mut consumer = waiting(&daemon, "c-1");
+    let mut consumer = fetching_consumer(&daemon, "c-1");
     let mut producer = Peer::producer(daemon.address("faktory"));
     assert_eq!(producer.push(&job("job-00000001", "qso-confirm")), "+OK");
     assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
