--- a/crates/emulator/src/policy/mod.rs
+++ b/crates/emulator/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! What decides: the project's own decisions, others to compare them with, and bad ones that show that each checker
-//! can trip. All of them speak the interface of the decisions.
+//! Routing policies: the project's own decisions, textbook policies for comparison, and faulty ones that show that
+//! each checker detects its violation. All of them share the interface of the decisions.
 
-mod bad;
-mod simple;
+mod baseline;
+mod faulty;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,12 +10,12 @@
 use rand::rngs::SmallRng;
 use rookspoke_decisions::{Action, Dispatcher, Event, Settings, SettingsError, Time};
 
-pub use bad::Fault;
-pub use simple::{Simple, Way};
+pub use baseline::{Baseline, BaselinePolicy};
+pub use faulty::Fault;
 
-/// Decides for one dispatcher.
+/// The decision logic of one dispatcher.
 pub trait Policy {
-    /// Takes one event and pushes what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 }
 
@@ -25,76 +25,80 @@
     }
 }
 
-/// The true state of all log workers, for the one policy that no installation could have.
+/// The true state of all log workers. Only the reference policy [`Baseline::Top`] reads it; a real dispatcher has no
+/// access to this state.
 #[derive(Debug, Default)]
-pub struct Truth {
-    /// For each log worker, by number: seconds until it would be idle, were its cores always full.
+pub struct GroundTruth {
+    /// By log worker number: seconds until it would be idle with all cores in use.
     pub backlog: Vec<f64>,
-    /// Work that a cold one still bears in the span of the fall-over rule, in seconds of a core; none if warm.
-    pub bears: Vec<Option<f64>>,
-    /// The archives that it keeps.
-    pub keeps: Vec<Vec<u64>>,
-    /// Whether it takes work.
-    pub takes: Vec<bool>,
+    /// By log worker number: work in core-seconds that it can still receive within the overload window while in slow
+    /// start; none at full speed.
+    pub slow_start_budget: Vec<Option<f64>>,
+    /// By log worker number: the archives in its cache.
+    pub archives: Vec<Vec<u64>>,
+    /// By log worker number: whether it accepts jobs.
+    pub accepts_work: Vec<bool>,
 }
 
-/// A view of the truth that the model keeps up to date.
-pub type SharedTruth = Rc<RefCell<Truth>>;
+/// The ground truth, shared with the model that updates it.
+pub type SharedGroundTruth = Rc<RefCell<GroundTruth>>;
 
-/// A policy by its name.
+/// A policy to run a scenario with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// The project's own.
+pub enum PolicyKind {
+    /// The project's own decisions.
     Ours,
-    /// Another way to choose.
-    Plain(Way),
-    /// Ours, with a fault that breaks one rule.
-    Bad(Fault),
+    /// A textbook policy.
+    Baseline(Baseline),
+    /// A policy with a fault that breaks one rule.
+    Faulty(Fault),
 }
 
-/// All policies that are worth comparing, by name.
-pub const NAMED: &[(&str, Kind)] = &[
-    ("ours", Kind::Ours),
-    ("random", Kind::Plain(Way::Random)),
-    ("round-robin", Kind::Plain(Way::RoundRobin)),
-    ("least-loaded", Kind::Plain(Way::LeastLoaded)),
-    ("two-choices", Kind::Plain(Way::TwoChoices)),
-    ("rendezvous", Kind::Plain(Way::Rendezvous)),
-    ("bounded-loads", Kind::Plain(Way::BoundedLoads)),
-    ("pasch", Kind::Plain(Way::Pasch)),
-    ("top", Kind::Plain(Way::Top)),
-    ("bad-silent", Kind::Bad(Fault::Silent)),
-    ("bad-twice", Kind::Bad(Fault::Twice)),
-    ("bad-drain", Kind::Bad(Fault::Drain)),
-    ("bad-cold", Kind::Bad(Fault::Cold)),
+/// All policies by the name that the command line and reports use.
+pub const NAMED: &[(&str, PolicyKind)] = &[
+    ("ours", PolicyKind::Ours),
+    ("random", PolicyKind::Baseline(Baseline::Random)),
+    ("round-robin", PolicyKind::Baseline(Baseline::RoundRobin)),
+    ("least-loaded", PolicyKind::Baseline(Baseline::LeastLoaded)),
+    ("two-choices", PolicyKind::Baseline(Baseline::TwoChoices)),
+    ("rendezvous", PolicyKind::Baseline(Baseline::Rendezvous)),
+    ("bounded-loads", PolicyKind::Baseline(Baseline::BoundedLoads)),
+    ("pasch", PolicyKind::Baseline(Baseline::Pasch)),
+    ("top", PolicyKind::Baseline(Baseline::Top)),
+    ("bad-silent", PolicyKind::Faulty(Fault::LosesAnswers)),
+    ("bad-twice", PolicyKind::Faulty(Fault::RepeatsUnsafe)),
+    ("bad-drain", PolicyKind::Faulty(Fault::IgnoresDrain)),
+    ("bad-cold", PolicyKind::Faulty(Fault::IgnoresSlowStart)),
 ];
 
-impl Kind {
-    /// Its name.
+impl PolicyKind {
+    /// The name that the command line and reports use.
     pub fn name(self) -> &'static str {
         NAMED.iter().find(|(_, kind)| *kind == self).map_or("?", |(name, _)| name)
     }
 
-    /// The policy of this name.
-    pub fn named(name: &str) -> Option<Kind> {
+    /// Looks a policy up by its name.
+    pub fn named(name: &str) -> Option<PolicyKind> {
         NAMED.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind)
     }
 
-    /// One for a dispatcher.
+    /// Creates the policy for one dispatcher.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn build(
         self,
         settings: &Settings,
         seed: u64,
         rng: SmallRng,
-        truth: &SharedTruth,
+        truth: &SharedGroundTruth,
     ) -> Result<Box<dyn Policy>, SettingsError> {
         Ok(match self {
-            Kind::Ours => Box::new(Dispatcher::new(settings.clone(), seed)?),
-            Kind::Plain(way) => Box::new(Simple::new(way, settings.clone(), rng, truth.clone())),
-            Kind::Bad(fault) => bad::build(fault, settings, seed, rng, truth)?,
+            PolicyKind::Ours => Box::new(Dispatcher::new(settings.clone(), seed)?),
+            PolicyKind::Baseline(baseline) => {
+                Box::new(BaselinePolicy::new(baseline, settings.clone(), rng, truth.clone()))
+            }
+            PolicyKind::Faulty(fault) => faulty::build(fault, settings, seed, rng, truth)?,
         })
     }
 }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -16,7 +16,7 @@
 use rand::Rng;
 use rookspoke_decisions::{Effect, Span, Time};
 use rookspoke_emulator::model::Arrival;
-use rookspoke_emulator::report::Asked;
+use rookspoke_emulator::report::JobResult;
 use rookspoke_emulator::rng::{stream, Stream};
 use rookspoke_emulator::scenario::Scenario;
 use tokio::net::TcpStream;
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug)]
 pub struct LoadCounts {
     /// Each job of the load, in order of arrival.
-    pub jobs: Vec<Asked>,
+    pub jobs: Vec<JobResult>,
     /// Time from a job's arrival to its answer, in microseconds, for served jobs.
     pub latency: Histogram<u64>,
     /// Jobs that were served, in time or not.
@@ -188,7 +188,7 @@
             let (load, mut arrival) = (self.clone(), *arrival);
             let number = {
                 let mut counts = lock(&self.0.counts);
-                counts.jobs.push(Asked { class: arrival.class, at: arrival.intended_at, in_time: false });
+                counts.jobs.push(JobResult { class: arrival.class, at: arrival.intended_at, in_time: false });
                 counts.jobs.len() - 1
             };
             arrival.intended_at = due;
@@ -238,7 +238,7 @@
             let back_off =
                 self.0.scenario.get("clients.back-off") * (0.5 + lock(&self.0.rng).random::<f64>());
             let retry_after =
-                retry_after.filter(|_| self.0.scenario.on("clients.heeds-advice")).unwrap_or_default();
+                retry_after.filter(|_| self.0.scenario.is_on("clients.heeds-advice")).unwrap_or_default();
             tokio::time::sleep(Duration::from_secs_f64(back_off / 1000.0).max(retry_after)).await;
         }
     }
--- a/crates/rookspoke/tests/faktory.rs
+++ b/crates/rookspoke/tests/faktory.rs
@@ -49,19 +49,19 @@
     .map(|command| producer.call(command))
     .collect();
     insta::assert_snapshot!(replies.join("\n"), @r#"
-    -ERR HELLO was sent before on this connection
+    -ERR HELLO was said already
     -ERR malformed PUSH: EOF while parsing a value at line 1 column 7
-    -ERR malformed PUSH: jid: found 5 bytes, expected 8 to 256
-    -ERR malformed PUSH: at: scheduled jobs are not supported
+    -ERR malformed PUSH: jid: 8 to 256 characters
+    -ERR malformed PUSH: at: scheduled jobs are not taken
     -ERR jobtype "unheard-of" is not known
     -ERR only a client whose HELLO has a wid may FETCH
     -ERR "FLUSH" is not supported
-    -ERR malformed ACK: invalid type: integer `7`, expected an object with `jid` at line 1 column 1
+    -ERR malformed ACK: invalid type: integer `7`, expected struct Jid at line 1 column 1
     -ERR a command is longer than 65536 bytes
     "#);
     let mut without_hello = Peer::connect(to);
     without_hello.reply();
-    assert_eq!(without_hello.call("PUSH {}"), "-ERR expected HELLO with v 2 as the first command");
+    assert_eq!(without_hello.call("PUSH {}"), "-ERR HELLO with v 2 comes first");
     daemon.wait_counters("faktory", &["taken=0", "turned_down=1", "malformed=7"]);
 }
 
@@ -237,7 +237,7 @@
     assert_eq!(consumer.fetch_pending()["jid"], "job-00000001");
     daemon.signal("TERM");
     wait_for("a refusal", || {
-        producer.push(&job("job-00000002", "no-such")).contains("shutting down").then_some(())
+        producer.push(&job("job-00000002", "no-such")).contains("about to end").then_some(())
     });
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     assert!(daemon.wait_exit().success());
@@ -255,7 +255,7 @@
     let mut others: Vec<Peer> = (2..12).map(|n| fetching_consumer(&daemon, &format!("c-{n}"))).collect();
     daemon.signal("TERM");
     wait_for("a refusal", || {
-        producer.push(&job("job-00000002", "no-such")).contains("shutting down").then_some(())
+        producer.push(&job("job-00000002", "no-such")).contains("about to end").then_some(())
     });
     assert_eq!(consumer.ack("job-00000001"), "+OK");
     for other in &mut others {
