--- a/crates/rookspoke/tests/plugin.rs
+++ b/crates/rookspoke/tests/plugin.rs
@@ -1,17 +1,20 @@
-//! The plug-in in process: an RPC client (tonic's) over the channel, without a daemon between.
+//! The dispatcher as a library: tonic's RPC client calls log workers through an in-process channel, without a daemon.
 
 mod common;
 
 use std::io::Write;
 
 use bytes::{Buf, BufMut};
-use common::world::{config, objects, serve, state, Behaviour, Discovery, Late, Worker, PATIENCE};
+use common::world::{
+    platform_config, send_objects, serve, state_report, Behaviour, Discovery, LateWorker, Worker,
+    TEST_TIMEOUT,
+};
 use rookspoke_channel::Channel;
 use rookspoke_config::Config;
 use tonic::codec::{Codec, DecodeBuf, Decoder, EncodeBuf, Encoder};
 use tonic::{Code, Request, Status};
 
-/// Messages of plain text.
+/// A tonic codec for plain text messages.
 #[derive(Default)]
 struct Text;
 
@@ -46,11 +49,11 @@
     }
 }
 
-/// One unary call through a channel over a log worker that behaves like this.
+/// Makes one unary call through a channel whose only log worker has this behaviour.
 fn call(behaviour: &'static Behaviour) -> (Result<String, Code>, Worker) {
     let worker = Worker::start("w-1", move |request, to| behaviour(request, to));
-    let discovery = Discovery::of(&[&worker]);
-    let config = Config::read(&config(discovery.address).to_string()).expect("a configuration");
+    let discovery = Discovery::listing(&[&worker]);
+    let config = Config::read(&platform_config(discovery.address).to_string()).expect("a configuration");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let answer = runtime.block_on(async {
         let (channel, core) = Channel::start(&config);
@@ -76,15 +79,19 @@
         true
     });
     assert_eq!(answer, Ok("it is".into()));
-    let seen = worker.seen.lock().expect("requests")[0].clone();
-    assert_eq!((seen.first.as_str(), &seen.body[..]), ("POST /qso-confirm/station-1 HTTP/1.1", &b"who?"[..]));
+    let received = worker.requests.lock().expect("requests")[0].clone();
+    assert_eq!(
+        (received.start_line.as_str(), &received.body[..]),
+        ("POST /qso-confirm/station-1 HTTP/1.1", &b"who?"[..])
+    );
 }
 
-/// A dropped future is a client that left: nothing begins for it, though its attempt was on the way to a connection.
+/// Dropping the future of a call means that the client has left: its attempt, which is still connecting, must not be
+/// written when the connection is established.
 #[test]
-fn a_call_that_is_dropped_is_sent_no_more() {
+fn a_call_dropped_while_connecting_is_never_sent() {
     for cancel in [true, false] {
-        let worker = Late::start("w-1");
+        let worker = LateWorker::start("w-1");
         let config = Config::read(&worker.config(cancel).to_string()).expect("a configuration");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
@@ -97,11 +104,11 @@
             let call = tower::Service::call(&mut channel, request);
             assert!(tokio::time::timeout(std::time::Duration::from_millis(200), call).await.is_err());
             assert_eq!(channel.counters().sent.get(), 1);
-            worker.opens();
+            worker.open();
             let counters = channel.counters();
             let ended = || counters.cancelled.get() + counters.not_sent.get() + counters.written.get() > 0;
             let start = std::time::Instant::now();
-            while !ended() && start.elapsed() < PATIENCE {
+            while !ended() && start.elapsed() < TEST_TIMEOUT {
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             }
             assert_eq!((channel.counters().written.get(), worker.count()), (0, 0));
@@ -109,16 +116,16 @@
     }
 }
 
-/// Only what never ran is `Unavailable`, which clients may try again.
+/// Clients may retry on `Unavailable`, so only a call that never ran gets that status.
 #[test]
-fn a_refusal_is_unavailable_and_a_failure_is_not() {
+fn a_refused_call_is_unavailable_and_a_failed_one_is_not() {
     let (refused, _) = call(&|_, to| {
         let text = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
         to.write_all(text.as_bytes()).is_ok()
     });
     assert_eq!(refused, Err(Code::Unavailable));
     let (failed, worker) = call(&|request, to| {
-        objects(to, &[state(request, "failed")], true);
+        send_objects(to, &[state_report(request, "failed")], true);
         true
     });
     assert_eq!((failed, worker.count()), (Err(Code::Unknown), 1));
